--- a/bench/config-nodes.ts
+++ b/bench/config-nodes.ts
@@ -5,7 +5,7 @@
 import type {AddressInfo, Socket} from 'node:net';
 import {Left} from 'purify-ts/Either';
 import {AgentConfigFollower} from '../src/agent/config-follower.js';
-import type {AskNode} from '../src/common/config-bootstrap.js';
+import type {PollNode} from '../src/common/config-bootstrap.js';
 import {pollTimeoutMs, pollWaitMs, type ConfigPoll} from '../src/common/config-protocol.js';
 import {ConfigTable} from '../src/common/config-table.js';
 import {branded} from '../src/common/ids.js';
@@ -160,7 +160,7 @@
 		return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 	}
 
-	#asker(http: HttpClient, domain: number): AskNode {
+	#asker(http: HttpClient, domain: number): PollNode {
 		const ask = configAsker(new RpcClient(http));
 		const isOpen = (to: string) => this.#isCut(domain) === this.#isCut(this.#domainOf.get(to) ?? domain) && (!this.#isCut(domain) || this.#domainOf.get(to) === domain);
 		return async (to, poll) => {
--- a/bench/model/fleet-model.ts
+++ b/bench/model/fleet-model.ts
@@ -127,11 +127,11 @@
 			name: vm, role: 'backend', address: '', failureDomain, state: 'live',
 		})));
 		this.replicas.forEach(replica => {
-			entry.table.heard(replica.vm, replica.load());
+			entry.table.applyReport(replica.vm, replica.load());
 			this.time.repeat(this.#settings.loadPollMs ?? defaultPollMs, () => {
 				const load = replica.load();
 				this.time.after(this.#delay(entry, replica), () => {
-					entry.table.heard(replica.vm, load);
+					entry.table.applyReport(replica.vm, load);
 				});
 			});
 		});
@@ -199,7 +199,7 @@
 				back(() => {
 					outcome.endMs = this.time.now() - outcome.arrivedAt;
 					entry.budget.succeeded();
-					entry.table.heard(replica.vm, load);
+					entry.table.applyReport(replica.vm, load);
 					entry.table.ended(replica.vm);
 					this.#confirm(run.index, replica, held);
 					request.onWhole?.();
@@ -208,7 +208,7 @@
 			onRefused: (reason, retryAfterMs) => {
 				const load = replica.load();
 				back(() => {
-					entry.table.heard(replica.vm, load);
+					entry.table.applyReport(replica.vm, load);
 					entry.table.ended(replica.vm);
 					this.#refused(run, entry, {reason, retryAfterMs});
 				});
@@ -217,7 +217,7 @@
 		// The stream opens with the agent's load, this request counted.
 		const begun = replica.load();
 		back(() => {
-			entry.table.heard(replica.vm, begun);
+			entry.table.applyReport(replica.vm, begun);
 		});
 	}
 
--- a/bench/poison-requests.benchmark.ts
+++ b/bench/poison-requests.benchmark.ts
@@ -3,8 +3,8 @@
 */
 import {Buffer} from 'node:buffer';
 import {contentDigest, type ContentDigest} from '../src/gateway/quarantine/content-digest.js';
-import type {ReplicaStart} from '../src/gateway/quarantine/crash-memory.js';
-import {enoughCrashes, Quarantine} from '../src/gateway/quarantine/quarantine.js';
+import type {ReplicaStart} from '../src/gateway/quarantine/crash-history.js';
+import {crashThreshold, Quarantine} from '../src/gateway/quarantine/quarantine.js';
 import {CrashModel, type PoisonOutcome} from '../src/gateway/testing/crash-model.js';
 import {SeededRandom} from '../src/io/seeded-random.js';
 import {SystemClock} from '../src/io/system-clock.js';
@@ -22,12 +22,12 @@
 const microsBound = 100;
 
 const outcomes = (poison: number, enough: number, {seed, runs}: {seed: number; runs: number}): PoisonOutcome[] => Array.from({length: runs}, (_, i) => new CrashModel({
-	poison, perSecond, enoughCrashes: enough, random: new SeededRandom(seed + i),
-}).play());
+	poison, perSecond, crashThreshold: enough, random: new SeededRandom(seed + i),
+}).simulate());
 
 const figuresOf = (poison: number, held: readonly PoisonOutcome[], free: readonly PoisonOutcome[]): Figure[] => [
 	figure(`replicas ended, ${poison} such, not held back`, 'in 30 s', free.map(({ended}) => ended)),
-	figure(`replicas ended, ${poison} such`, 'in 30 s', held.map(({ended}) => ended), {atMost: enoughCrashes * poison}),
+	figure(`replicas ended, ${poison} such`, 'in 30 s', held.map(({ended}) => ended), {atMost: crashThreshold * poison}),
 	figure(`answers lost, ${poison} such, not held back`, 'in 30 s', free.map(({lost}) => lost)),
 	figure(`answers lost, ${poison} such`, 'in 30 s', held.map(({lost}) => lost)),
 	figure(`held back wrongly, ${poison} such`, 'in 30 s', held.map(({heldWrongly}) => heldWrongly)),
@@ -35,7 +35,7 @@
 
 const microsOfCall = (): number => {
 	const quarantine = new Quarantine({clock: new SystemClock(), log: {emit: () => undefined}});
-	quarantine.takeCrashes(Array.from({length: remembered}, (_, i) => ({content: `c${i}` as ContentDigest, start: 'r1/1' as ReplicaStart})));
+	quarantine.receiveCrashes(Array.from({length: remembered}, (_, i) => ({content: `c${i}` as ContentDigest, start: 'r1/1' as ReplicaStart})));
 	const body = Buffer.alloc(bodyBytes, 'x');
 	const startedAt = performance.now();
 	for (let call = 0; call < calls; call += 1) {
@@ -54,7 +54,7 @@
 	async run({runs = defaultRuns, seed, progress}) {
 		const figures = [1, 8].flatMap(poison => {
 			progress(`${poison} such`);
-			return figuresOf(poison, outcomes(poison, enoughCrashes, {seed, runs}), outcomes(poison, Infinity, {seed, runs}));
+			return figuresOf(poison, outcomes(poison, crashThreshold, {seed, runs}), outcomes(poison, Infinity, {seed, runs}));
 		});
 		progress('the time of a call');
 		microsOfCall();
--- a/bench/slopes/core-cases.ts
+++ b/bench/slopes/core-cases.ts
@@ -40,7 +40,7 @@
 	const vms = Array.from({length: candidates + others}, (_, index) => vmOf(index));
 	table.applyVmList(vms);
 	vms.forEach(({name}, index) => {
-		table.heard(name, sampleLoad(name, index < candidates ? target : 'model:other'));
+		table.applyReport(name, sampleLoad(name, index < candidates ? target : 'model:other'));
 	});
 	return {table, vms};
 };
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -5,7 +5,7 @@
 import type {Either} from 'purify-ts/Either';
 import type {BackendServer} from '../../typings/resources.js';
 import {Admission} from '../common/admission.js';
-import {checkedTable} from '../common/checked-table.js';
+import {validatedConfigTable} from '../common/validated-config-table.js';
 import type {ConfigTable} from '../common/config-table.js';
 import {CacheMirror} from '../common/cache-mirror.js';
 import {branded} from '../common/ids.js';
@@ -82,7 +82,7 @@
 		const {clock, log, metrics} = services;
 		this.#cfg = cfg;
 		this.#services = services;
-		this.#config = checkedTable(log, agentConfigEvents.objectRefused);
+		this.#config = validatedConfigTable(log, agentConfigEvents.objectRefused);
 		this.#backend = (backendMakers[cfg.backend.type] as (backend: AgentSettings['backend'], http: HttpClient) => Backend)(cfg.backend, this.#http);
 		this.#served = new ServedTargets({backend: this.#backend, clock, log});
 		this.#admission = new Admission(clock, {...cfg.backend, ...cfg.limits});
@@ -113,7 +113,7 @@
 				res.writeHead(405).end();
 			},
 			broken(err) {
-				log.emit(agentEvents.handlerBroken, {reason: String(err)});
+				log.emit(agentEvents.handlerFailed, {reason: String(err)});
 			},
 		});
 	}
--- a/src/agent/answer-stream.ts
+++ b/src/agent/answer-stream.ts
@@ -42,7 +42,7 @@
 			open().end();
 			res.once('close', () => {
 				if (res.writableFinished) {
-					ledger.delivered(key);
+					ledger.markDelivered(key);
 				}
 			});
 		},
@@ -52,7 +52,7 @@
 	};
 	res.once('close', () => {
 		writer?.dispose();
-		if (ledger.leave(key, reader)) {
+		if (ledger.removeReader(key, reader)) {
 			onLost();
 		}
 	});
--- a/src/agent/config-follower.ts
+++ b/src/agent/config-follower.ts
@@ -1,7 +1,7 @@
 /**
 Keeps what concerns this agent's backend server up to date: its own BackendServer and Assignment. It asks an entry of its failure domain, or another one; the object API is asked once at the start, when the entries can not help.
 */
-import {firstConfig, type AskNode} from '../common/config-bootstrap.js';
+import {loadInitialConfig, type PollNode} from '../common/config-bootstrap.js';
 import {ConfigPeerFollower} from '../common/config-peer-follower.js';
 import {readConfig} from '../common/config-reader.js';
 import type {ConfigScope, ConfigTable} from '../common/config-table.js';
@@ -23,7 +23,7 @@
 	/** This agent's VM. */
 	readonly vm: string;
 	readonly failureDomain: string;
-	readonly ask: AskNode;
+	readonly ask: PollNode;
 };
 
 const kinds: readonly ObjectKind[] = ['BackendServer', 'Assignment'];
@@ -75,7 +75,7 @@
 
 	async #begin() {
 		const {api, vm, table, log} = this.#parts;
-		const first = await firstConfig({
+		const first = await loadInitialConfig({
 			...this.#parts,
 			node: vm,
 			scope: this.#scope,
--- a/src/agent/engine-backend.ts
+++ b/src/agent/engine-backend.ts
@@ -4,7 +4,7 @@
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {EventSourceMessage} from 'eventsource-parser';
 import type {AnswerChunk} from '../common/answer-assembler.js';
-import {choicesWanted, FinishedChoices} from '../common/finished-choices.js';
+import {requestedChoices, FinishedChoices} from '../common/finished-choices.js';
 import {parseObject} from '../common/parse-object.js';
 import type {GenerateWork} from '../common/protocol.js';
 import type {HttpClient, HttpFailure, HttpResponse} from '../io/http-client.js';
@@ -161,7 +161,7 @@
 		}
 
 		let done = false;
-		const finished = new FinishedChoices(choicesWanted((req.work as GenerateWork).body));
+		const finished = new FinishedChoices(requestedChoices((req.work as GenerateWork).body));
 		const take = ({chunk, data}: EngineChunk) => {
 			finished.add(chunk);
 			req.onChunk(data);
@@ -172,6 +172,6 @@
 			return done || chunkOf(event.data).ifRight(take).isRight();
 		});
 		const missing = done ? 'a choice has no reason to finish' : `stream ${end} before its end marker`;
-		return done && finished.isWhole ? Right(undefined) : Left(failureInResponse(missing, req));
+		return done && finished.isComplete ? Right(undefined) : Left(failureInResponse(missing, req));
 	}
 }
--- a/src/agent/item-run.steps.ts
+++ b/src/agent/item-run.steps.ts
@@ -8,7 +8,7 @@
 import type {ItemResult} from '../common/batch-types.js';
 import type {GenerateWork} from '../common/protocol.js';
 import {
-	interruptedAnswers, laterRun, saidIn, type InterruptedAnswer,
+	interruptedAnswers, continuationOf, generatedTexts, type InterruptedAnswer,
 } from '../common/testing/interrupted-answers.js';
 import {SystemClock} from '../io/system-clock.js';
 import type {Backend, BackendFailure, BackendRequest} from './backend.js';
@@ -35,7 +35,7 @@
 		const {resume} = work as GenerateWork;
 		const isFirst = this.wentOnFrom.length === 0;
 		this.wentOnFrom.push(resume?.text ?? '');
-		const chunks = isFirst ? this.#answer.first : laterRun(this.#answer, resume);
+		const chunks = isFirst ? this.#answer.first : continuationOf(this.#answer, resume);
 		chunks.forEach(chunk => {
 			onChunk(JSON.stringify(chunk));
 		});
@@ -55,7 +55,7 @@
 /** Runs work at once, and again when it was cut. */
 const runner = {submit: runAgain, progressed: () => undefined} as unknown as WorkRunner;
 
-const textOf = ({response}: ItemResult) => saidIn((response?.body as {choices: Parameters<typeof saidIn>[0]}).choices).join(' / ');
+const textOf = ({response}: ItemResult) => generatedTexts((response?.body as {choices: Parameters<typeof generatedTexts>[0]}).choices).join(' / ');
 
 const runItem = async (answer: InterruptedAnswer, failure: BackendFailure): Promise<Outcome> => {
 	const backend = new InterruptedEngine(answer, failure);
--- a/src/agent/log-events.ts
+++ b/src/agent/log-events.ts
@@ -15,5 +15,5 @@
 	backendLost: {number: 320, level: 'warn', text: 'backend server ended an answer in the middle'},
 	/** Fields: targets, reason (why the backend server does not say). */
 	servesChanged: {number: 321, level: 'info', text: 'what the backend server serves has changed'},
-	handlerBroken: {number: 390, level: 'error', text: 'a request handler broke an invariant'},
+	handlerFailed: {number: 390, level: 'error', text: 'a request handler broke an invariant'},
 } as const satisfies Record<string, EventDefinition>;
--- a/src/agent/model-reconciler.steps.ts
+++ b/src/agent/model-reconciler.steps.ts
@@ -5,7 +5,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {ConfigTable} from '../common/config-table.js';
 import type {Fence, Revision} from '../common/ids.js';
-import {epochName, type Assignment, type PlacementEpoch} from '../common/placement.js';
+import {placementEpochName, type Assignment, type PlacementEpoch} from '../common/placement.js';
 import type {EventLog} from '../common/services.js';
 import {FakeObjectApi} from '../common/testing/fake-object-api.js';
 import type {TestWorld} from '../common/testing/test-world.js';
@@ -126,7 +126,7 @@
 When('holder {int} takes the placement over', async function (this: ReconcilerWorld, fence: number) {
 	const current = await this.api.list('Assignment');
 	const epoch: PlacementEpoch = {fence: fence as Fence, knownUpTo: current.unsafeCoerce().version};
-	await this.api.create('Assignment', epochName, epoch);
+	await this.api.create('Assignment', placementEpochName, epoch);
 });
 
 When('holder {int} wakes up and assigns version {string}', async function (this: ReconcilerWorld, fence: number, version: string) {
--- a/src/agent/online-attempts.ts
+++ b/src/agent/online-attempts.ts
@@ -107,7 +107,7 @@
 		}
 
 		if (this.#open.get(tableKey(key))?.idempotent) {
-			this.#around.ledger.delivered(key);
+			this.#around.ledger.markDelivered(key);
 			return this.#around.runner.cancel(tableKey(key));
 		}
 
@@ -181,7 +181,7 @@
 
 	#workOf(attempt: AttemptRequest): Work {
 		const blocks = this.#promptBlocks(attempt);
-		const cachedTokens = Math.min(attempt.promptTokens ?? 0, (this.#around.cache?.held(blocks).length ?? 0) * tokensPerBlock);
+		const cachedTokens = Math.min(attempt.promptTokens ?? 0, (this.#around.cache?.heldPrefix(blocks).length ?? 0) * tokensPerBlock);
 		const ticket: Ticket = {
 			key: tableKey(attempt),
 			workClass: 'online',
@@ -233,8 +233,8 @@
 	// The last held block stands for all before it.
 	#confirmed(blocks: readonly BlockHash[]) {
 		const {cache} = this.#around;
-		const held = cache?.held(blocks) ?? [];
-		cache?.answered(held);
+		const held = cache?.heldPrefix(blocks) ?? [];
+		cache?.recordAnsweredPrompt(held);
 		return {cachedBlocks: held.slice(-1), cacheSeq: cache?.seq};
 	}
 
@@ -295,7 +295,7 @@
 	// The entry may be about to ask again on another connection; if nobody does, the entry is gone and the engine's time is better spent elsewhere.
 	#watchOrphan(key: AttemptKey) {
 		setTimeout(() => {
-			const isOrphan = this.#open.has(tableKey(key)) && !this.#around.ledger.isRead(key);
+			const isOrphan = this.#open.has(tableKey(key)) && !this.#around.ledger.hasReaders(key);
 			if (isOrphan) {
 				this.#around.log.emit(agentEvents.orphaned, {...key});
 				this.cancel(key);
--- a/src/agent/order-fence.ts
+++ b/src/agent/order-fence.ts
@@ -2,7 +2,7 @@
 Keeps orders of a former holder of the placement away from the engine. Not every engine checks fencing numbers, so the agent does: it knows the highest number and, after a restart and with each new assignment, learns anew who holds the placement before it obeys.
 */
 import {
-	epochName, isCurrent, type Assignment, type PlacementEpoch,
+	placementEpochName, isCurrentAssignment, type Assignment, type PlacementEpoch,
 } from '../common/placement.js';
 import type {Revision} from '../common/ids.js';
 import type {ObjectApi} from '../common/services.js';
@@ -26,7 +26,7 @@
 	/** Judges an assignment; `unknown` when that can not be said now. */
 	async judge(assignment: Assignment, version: Revision): Promise<FenceVerdict> {
 		const learned = this.#learnedFor === version || await this.#learn(version);
-		if (this.#epoch && !isCurrent(assignment, version, this.#epoch)) {
+		if (this.#epoch && !isCurrentAssignment(assignment, version, this.#epoch)) {
 			return 'stale';
 		}
 
@@ -35,7 +35,7 @@
 	}
 
 	async #learn(version: Revision): Promise<boolean> {
-		const read = await this.#api.get<PlacementEpoch>('Assignment', epochName);
+		const read = await this.#api.get<PlacementEpoch>('Assignment', placementEpochName);
 		const isKnown = read.isRight() || read.extract().kind === 'notFound';
 		read.ifRight(({value}) => {
 			this.#epoch = this.#epoch && this.#epoch.fence > value.fence ? this.#epoch : value;
--- a/src/common/account-slots.ts
+++ b/src/common/account-slots.ts
@@ -29,7 +29,7 @@
 	}
 
 	/** Counts an account among the active ones for a moment. */
-	seen({account, share}: QueueItem): void {
+	recordActivity({account, share}: QueueItem): void {
 		this.#prune();
 		const slots = this.#slotsOf(account);
 		this.#shares += share - slots.share;
--- a/src/common/admission-types.ts
+++ b/src/common/admission-types.ts
@@ -35,4 +35,4 @@
 		| {readonly kind: 'refuse'; readonly ticket: Ticket; readonly reason: RefusalReason; readonly retryAfterMs: number};
 
 /** Tokens of a ticket's prompt. */
-export const promptTokensOf = ({promptTokens, costTokens}: Ticket): number => promptTokens ?? costTokens;
+export const ticketPromptTokens = ({promptTokens, costTokens}: Ticket): number => promptTokens ?? costTokens;
--- a/src/common/admission.ts
+++ b/src/common/admission.ts
@@ -5,13 +5,13 @@
 */
 import {AccountSlots, headroomShare} from './account-slots.js';
 import {
-	promptTokensOf, type AdmissionLimits, type AdmissionStep, type Ticket,
+	ticketPromptTokens, type AdmissionLimits, type AdmissionStep, type Ticket,
 } from './admission-types.js';
 import {BatchPacer} from './batch-pacer.js';
 import {LongPrompts} from './long-prompts.js';
 import {FairQueue} from './fair-queue.js';
 import type {RefusalReason, WorkClass} from './protocol.js';
-import {RunningWork, type Running} from './running-work.js';
+import {RunningWork, type RunningItem} from './running-work.js';
 import {ServiceRate} from './service-rate.js';
 import type {Clock} from './services.js';
 
@@ -81,7 +81,7 @@
 		}
 
 		const waitMs = this.#waitMs(ticket);
-		this.#slots.seen(ticket);
+		this.#slots.recordActivity(ticket);
 		if (waitMs > 0 && this.#clock.now() + ((waitMs + this.#serviceMs(ticket)) * estimateMargin) > ticket.deadlineAt) {
 			return this.#refusal(ticket, 'deadline', waitMs);
 		}
@@ -118,7 +118,7 @@
 		}
 
 		const {ticket, startedAt, tokens} = running;
-		this.#longPrompts.forget(key);
+		this.#longPrompts.clearYieldDeadline(key);
 		if (served) {
 			this.#rate.finished(ticket.costTokens, this.#clock.now() - startedAt);
 		}
@@ -146,7 +146,7 @@
 	/** What has to be done now, in order. */
 	steps(): AdmissionStep[] {
 		if (this.onlineRunning > 0 || this.onlineQueued > 0) {
-			this.pacer.onlineSeen();
+			this.pacer.recordOnlineActivity();
 		}
 
 		return [...this.#expired(), ...this.#startOnline(), ...this.#preemptions(), ...this.#startBatch()];
@@ -164,15 +164,15 @@
 
 	#dequeue(ticket: Ticket): boolean {
 		this.#queued.delete(ticket.key);
-		this.#longPrompts.forget(ticket.key);
+		this.#longPrompts.clearYieldDeadline(ticket.key);
 		return this.#longPrompts.remove(ticket) || this.#queues[ticket.workClass].remove(ticket);
 	}
 
-	#noteProgress({ticket, startedAt, tokens: before, tokenAt}: Running, tokens: number, now: number) {
+	#noteProgress({ticket, startedAt, tokens: before, lastTokenAt: tokenAt}: RunningItem, tokens: number, now: number) {
 		const isFirst = before === 0;
 		if (ticket.workClass === 'batch') {
 			if (isFirst) {
-				this.pacer.firstBatchToken(now - startedAt);
+				this.pacer.recordFirstBatchToken(now - startedAt);
 			}
 
 			return;
@@ -181,11 +181,11 @@
 		if (isFirst) {
 			this.#slots.prefilled(ticket);
 		} else {
-			this.pacer.onlineTokens(now - tokenAt, tokens, this.batchRunning);
+			this.pacer.recordOnlineTokens(now - tokenAt, tokens, this.batchRunning);
 		}
 	}
 
-	#leave(key: string): Running | undefined {
+	#leave(key: string): RunningItem | undefined {
 		const running = this.#running.end(key);
 		if (!running) {
 			return undefined;
@@ -201,7 +201,7 @@
 
 	// A queue that one account has filled must not turn the others away: their first requests would be refused for as long as it sends.
 	#displace(ticket: Ticket, waitMs: number): AdmissionStep {
-		const surplus = this.#queues.online.surplusFor(ticket);
+		const surplus = this.#queues.online.evictionCandidateFor(ticket);
 		if (!surplus) {
 			return this.#refusal(ticket, 'queueFull', waitMs);
 		}
@@ -228,7 +228,7 @@
 		}
 
 		const now = this.#clock.now();
-		const queuedMs = this.#queues.online.tokensBefore(ticket) * this.#rate.msPerToken;
+		const queuedMs = this.#queues.online.tokensAheadOf(ticket) * this.#rate.msPerToken;
 		const runningMs = this.#running.all('online').reduce((sum, {ticket: other, startedAt}) => sum + Math.max(0, this.#serviceMs(other) - (now - startedAt)), 0);
 		return (queuedMs + runningMs) / this.#limits.maxRunning;
 	}
@@ -263,7 +263,7 @@
 		}
 
 		this.#holdLongPrompts();
-		const {limit, prefillRoom} = this.pacer;
+		const {limit, prefillTokenLimit: prefillRoom} = this.pacer;
 		return this.#startFrom('batch', () => this.#size < this.#batchRoom
 			&& this.batchRunning < limit
 			&& this.#running.batchPrefillTokens < prefillRoom
@@ -275,12 +275,12 @@
 			this.#queues.batch.unshift(ticket);
 		});
 		for (let next = this.#queues.batch.peek(); next && this.#mustGiveWay(next); next = this.#queues.batch.peek()) {
-			this.#longPrompts.hold(this.#queues.batch.shift()!);
+			this.#longPrompts.holdBack(this.#queues.batch.shift()!);
 		}
 	}
 
 	#mustGiveWay(ticket: Ticket): boolean {
-		return this.pacer.isOnlinePresent && promptTokensOf(ticket) > this.pacer.prefillRoom && this.#longPrompts.givesWay(ticket);
+		return this.pacer.isOnlinePresent && ticketPromptTokens(ticket) > this.pacer.prefillTokenLimit && this.#longPrompts.shouldYield(ticket);
 	}
 
 	// An account over its share leaves places free and computes one prompt at a time, else the requests of the others would wait for its requests to end.
--- a/src/common/answer-assembler.ts
+++ b/src/common/answer-assembler.ts
@@ -1,7 +1,7 @@
 /**
 Puts the chunks of a streamed answer together: the whole object for a caller who did not ask for a stream, and the resume point for an engine that goes on where another stopped.
 */
-import {choicesWanted, FinishedChoices} from './finished-choices.js';
+import {requestedChoices, FinishedChoices} from './finished-choices.js';
 import type {JsonObject, ResumePoint} from './protocol.js';
 
 type Delta = {role?: string; content?: string | null; refusal?: string | null; tool_calls?: ToolCallDelta[]};
@@ -104,13 +104,13 @@
 
 	/** @param request - What the engine was sent. */
 	constructor(request: JsonObject) {
-		this.#wanted = choicesWanted(request);
+		this.#wanted = requestedChoices(request);
 		this.#finished = new FinishedChoices(this.#wanted);
 	}
 
 	/** True once the engine gave a reason to finish for every choice that was asked for. */
 	get isFinished(): boolean {
-		return this.#finished.isWhole;
+		return this.#finished.isComplete;
 	}
 
 	/** The usage that the engine reported last, if it did. */
--- a/src/common/batch-pacer.ts
+++ b/src/common/batch-pacer.ts
@@ -75,12 +75,12 @@
 	}
 
 	/** Prompt tokens of batch items that may be computed at once; bounds how long an online request that comes now waits for them. */
-	get prefillRoom(): number {
+	get prefillTokenLimit(): number {
 		return between(prefillTokensAtLeast, prefillTokensAtMost, this.#settings.batchWeight);
 	}
 
 	/** To be told whenever online work is running or waiting. */
-	onlineSeen(): void {
+	recordOnlineActivity(): void {
 		this.#onlineUntil = this.#clock.now() + millisecondsWithoutOnline;
 	}
 
@@ -95,7 +95,7 @@
 	}
 
 	/** A batch item has its first token, this long after its start. */
-	firstBatchToken(ms: number): void {
+	recordFirstBatchToken(ms: number): void {
 		this.#startMs = smooth(this.#startMs, ms);
 	}
 
@@ -105,7 +105,7 @@
 	@param ms - Milliseconds since the tokens before them.
 	@param batchRunning - Batch items in the backend server.
 	*/
-	onlineTokens(ms: number, tokens: number, batchRunning: number): void {
+	recordOnlineTokens(ms: number, tokens: number, batchRunning: number): void {
 		const name = batchRunning === 0 ? 'alone' : 'beside';
 		const window = this.#windows[name];
 		window.ms += ms;
--- a/src/common/batch-types.ts
+++ b/src/common/batch-types.ts
@@ -97,7 +97,7 @@
 };
 
 /** States in which a job changes no more. */
-export const endedStates: ReadonlySet<JobState> = new Set<JobState>(['completed', 'cancelled', 'expired', 'failed']);
+export const terminalStates: ReadonlySet<JobState> = new Set<JobState>(['completed', 'cancelled', 'expired', 'failed']);
 
 const chunkDigits = 6;
 
@@ -110,7 +110,7 @@
 export const resultPrefix = (jobId: JobId, {createdTime, inputFileId}: Pick<BatchJobSpec, 'createdTime' | 'inputFileId'>): ResultPrefix => branded(`${jobId}/${h64ToString(`${createdTime}/${inputFileId}`)}`);
 
 /** True when the status belongs to this job, and not to an earlier one with the same id. */
-export const speaksOf = (status: JobStatus, {createdTime}: Pick<BatchJobSpec, 'createdTime'>): boolean => status.jobCreatedTime === undefined || status.jobCreatedTime === createdTime;
+export const isStatusOfJob = (status: JobStatus, {createdTime}: Pick<BatchJobSpec, 'createdTime'>): boolean => status.jobCreatedTime === undefined || status.jobCreatedTime === createdTime;
 
 /** The name of a chunk's result. */
 export const resultName = (prefix: ResultPrefix, chunk: number) => `${prefix}/${String(chunk).padStart(chunkDigits, '0')}`;
--- a/src/common/cache-mirror.ts
+++ b/src/common/cache-mirror.ts
@@ -72,13 +72,13 @@
 	}
 
 	/** The blocks of a prompt, from its start, that the engine is known to hold. */
-	held(prompt: readonly BlockHash[]): readonly BlockHash[] {
+	heldPrefix(prompt: readonly BlockHash[]): readonly BlockHash[] {
 		const missing = prompt.findIndex(block => !this.#blocks.has(block));
 		return missing === -1 ? prompt : prompt.slice(0, missing);
 	}
 
 	/** Remembers the last held block of an answered prompt for the next reports: it stands for all before it. */
-	answered(held: readonly BlockHash[]): void {
+	recordAnsweredPrompt(held: readonly BlockHash[]): void {
 		const tail = held.at(-1);
 		if (tail) {
 			this.#answers.push({seq: this.#seq, blocks: [tail]});
--- a/src/common/claim.ts
+++ b/src/common/claim.ts
@@ -13,7 +13,7 @@
 };
 
 /** How the request ended, once that is known. */
-export type ClaimedEnd = {
+export type ClaimedOutcome = {
 	/** The answer's chunks; left out when they are larger than {@link maxClaimedCharacters}. */
 	readonly chunks?: readonly string[];
 	/** The backend server's own error, where it ended so. */
@@ -29,7 +29,7 @@
 	readonly attempt: ClaimedAttempt;
 	/** Milliseconds since 1970 when the writer's deadline passes. */
 	readonly deadlineAt: number;
-	readonly end?: ClaimedEnd;
+	readonly end?: ClaimedOutcome;
 };
 
 /** Answers up to this size are kept in the claim, so that they outlast the agent's ledger. */
--- a/src/common/config-bootstrap.steps.ts
+++ b/src/common/config-bootstrap.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {Left, Right} from 'purify-ts/Either';
-import {firstConfig, type AskNode, type FirstConfig} from './config-bootstrap.js';
+import {loadInitialConfig, type PollNode, type InitialConfig} from './config-bootstrap.js';
 import {ConfigTable, type ConfigChanges} from './config-table.js';
 import {branded, type Revision} from './ids.js';
 import {ManualClock} from './testing/manual-clock.js';
@@ -14,9 +14,9 @@
 type BootstrapWorld = TestWorld & {
 	snapshot: ConfigChanges;
 	peers: readonly string[];
-	ask: AskNode;
+	ask: PollNode;
 	api: ConfigChanges | undefined;
-	first: FirstConfig | undefined;
+	first: InitialConfig | undefined;
 };
 
 const rounds = 3;
@@ -57,7 +57,7 @@
 	let round = 0;
 	const clock = new ManualClock();
 	clock.sleep = async () => undefined;
-	this.first = await firstConfig({
+	this.first = await loadInitialConfig({
 		clock,
 		random: {next: () => 0},
 		node: 'entry-1',
--- a/src/common/config-bootstrap.ts
+++ b/src/common/config-bootstrap.ts
@@ -8,7 +8,7 @@
 import type {Clock, RandomSource} from './services.js';
 
 /** Asks a node; see {@link ConfigPoll}. */
-export type AskNode = (address: string, poll: ConfigPoll) => Promise<Either<unknown, ConfigAnswer>>;
+export type PollNode = (address: string, poll: ConfigPoll) => Promise<Either<unknown, ConfigAnswer>>;
 
 /** What the start needs. */
 export type BootstrapParts = {
@@ -17,7 +17,7 @@
 	/** This node's VM. */
 	readonly node: string;
 	readonly scope?: ConfigScope;
-	readonly ask: AskNode;
+	readonly ask: PollNode;
 	/** `ip:port` of the peers to ask, the best first. */
 	readonly peers: () => readonly string[];
 	/** Reads everything from the object API. */
@@ -32,9 +32,9 @@
 export type ConfigSource = 'objectApi' | 'peers' | 'snapshotAndPeer';
 
 /** The first configuration. */
-export type FirstConfig = {readonly changes: ConfigChanges; readonly source: ConfigSource};
+export type InitialConfig = {readonly changes: ConfigChanges; readonly source: ConfigSource};
 
-type Step = (parts: BootstrapParts) => Promise<FirstConfig | undefined>;
+type Step = (parts: BootstrapParts) => Promise<InitialConfig | undefined>;
 
 const shortestRetryMs = 200;
 const retrySpreadMs = 800;
@@ -44,7 +44,7 @@
 
 const fromApi: Step = async parts => {
 	const read = await parts.readApi();
-	return read.map((changes): FirstConfig | undefined => isBehind(parts, changes.revision) ? undefined : {changes, source: 'objectApi'}).orDefault(undefined);
+	return read.map((changes): InitialConfig | undefined => isBehind(parts, changes.revision) ? undefined : {changes, source: 'objectApi'}).orDefault(undefined);
 };
 
 const askFor = async ({ask, node, scope}: BootstrapParts, peer: string, since: Revision): Promise<ConfigAnswer | undefined> => {
@@ -93,7 +93,7 @@
 };
 
 /** Tries all sources over and over. Resolves with nothing once `isDisposed`. */
-export const firstConfig = async (parts: BootstrapParts, isDisposed: () => boolean): Promise<FirstConfig | undefined> => {
+export const loadInitialConfig = async (parts: BootstrapParts, isDisposed: () => boolean): Promise<InitialConfig | undefined> => {
 	while (!isDisposed()) {
 		const steps: readonly Step[] = parts.prefersApi() ? [fromApi, fromSnapshot, fromPeers] : [fromSnapshot, fromPeers, fromApi];
 		for (const step of steps) {
--- a/src/common/config-counts.ts
+++ b/src/common/config-counts.ts
@@ -18,9 +18,9 @@
 };
 
 /** Nodes with at least this version in force, and nodes counted at all. */
-export const countInForce = (counts: readonly InForceCount[], version: Revision): {nodesInForce: number; nodesHeard: number} => ({
+export const countInForce = (counts: readonly InForceCount[], version: Revision): {nodesInForce: number; nodesCounted: number} => ({
 	nodesInForce: counts.filter(row => row.version >= version).reduce((sum, row) => sum + row.nodes, 0),
-	nodesHeard: counts.reduce((sum, row) => sum + row.nodes, 0),
+	nodesCounted: counts.reduce((sum, row) => sum + row.nodes, 0),
 });
 
 /** The counts at one node. */
@@ -36,12 +36,12 @@
 	}
 
 	/** Takes over what a node that asked says of itself and of those below it. */
-	heard(node: string, counts: readonly InForceCount[]): void {
+	recordCounts(node: string, counts: readonly InForceCount[]): void {
 		this.#reports.set(node, {counts, until: this.#clock.now() + waitingMs});
 	}
 
 	/** The node was answered: it asks again at once, here or elsewhere. */
-	answered(node: string): void {
+	markAnswered(node: string): void {
 		const report = this.#reports.get(node);
 		if (report) {
 			this.#reports.set(node, {...report, until: this.#clock.now() + answeredMs});
--- a/src/common/config-feed.ts
+++ b/src/common/config-feed.ts
@@ -37,7 +37,7 @@
 	async answer(poll: ConfigPoll): Promise<ConfigAnswer> {
 		const {table, clock, counts} = this.#parts;
 		if (poll.counts) {
-			counts.heard(poll.node, poll.counts);
+			counts.recordCounts(poll.node, poll.counts);
 		}
 
 		const until = clock.now() + Math.min(poll.waitMs, pollWaitMs);
@@ -48,19 +48,19 @@
 			changes = table.changesSince(poll.since, poll.scope);
 		}
 
-		counts.answered(poll.node);
+		counts.markAnswered(poll.node);
 		return this.#answerWith(changes, poll);
 	}
 
 	/** Answers all that wait: this node is no longer connected, and they are to ask elsewhere without delay. */
-	answerNow(): void {
+	answerPendingPolls(): void {
 		this.#losses += 1;
 		this.#wakeAll();
 	}
 
 	dispose(): void {
 		this.#stop();
-		this.answerNow();
+		this.answerPendingPolls();
 	}
 
 	#answerWith(changes: ConfigChanges, poll: ConfigPoll): ConfigAnswer {
--- a/src/common/config-in-force.ts
+++ b/src/common/config-in-force.ts
@@ -23,7 +23,7 @@
 	readonly reportedAt?: number;
 	readonly reported?: InForceTally;
 	/** The clock's `now` since when every tally was whole. */
-	readonly wholeSince?: number;
+	readonly completeSince?: number;
 };
 
 /** A change takes a moment; a report on each step of it would only cost calls. */
@@ -40,10 +40,10 @@
 export const isInForce = ({nodesInForce, nodesKnown}: InForceTally): boolean => nodesInForce >= nodesKnown;
 
 /** Takes a tally into account. */
-export const withTally = (pending: PendingVersion, tally: InForceTally, now: number): PendingVersion => ({...pending, wholeSince: isInForce(tally) ? pending.wholeSince ?? now : undefined});
+export const withTally = (pending: PendingVersion, tally: InForceTally, now: number): PendingVersion => ({...pending, completeSince: isInForce(tally) ? pending.completeSince ?? now : undefined});
 
 /** Whether to write a report now. */
-export const isReportDue = ({seenAt, reportedAt, reported, wholeSince}: PendingVersion, tally: InForceTally, now: number): boolean => {
+export const isReportDue = ({seenAt, reportedAt, reported, completeSince: wholeSince}: PendingVersion, tally: InForceTally, now: number): boolean => {
 	if (isInForce(tally)) {
 		return wholeSince !== undefined && now - wholeSince >= settleMs;
 	}
--- a/src/common/config-peer-follower.ts
+++ b/src/common/config-peer-follower.ts
@@ -1,7 +1,7 @@
 /**
 Follows the configuration by long polls to a node further up, and changes to another one when that one is silent, gone or cut off itself. Each poll asks for everything after this node's own revision, so what was missed while a connection or a whole region was cut comes with the first answer after it.
 */
-import type {AskNode} from './config-bootstrap.js';
+import type {PollNode} from './config-bootstrap.js';
 import {pollWaitMs, type ConfigAnswer, type InForceCount} from './config-protocol.js';
 import type {ConfigScope, ConfigTable} from './config-table.js';
 import type {Clock, Disposable, RandomSource} from './services.js';
@@ -14,7 +14,7 @@
 	/** This node's VM. */
 	readonly node: string;
 	readonly scope?: ConfigScope;
-	readonly ask: AskNode;
+	readonly ask: PollNode;
 	/** `ip:port` of the nodes to ask, the best first; may change at any time. */
 	readonly upstreams: () => readonly string[];
 	/** What to report up; undefined when somebody else counts this node. */
--- a/src/common/config-upstream.ts
+++ b/src/common/config-upstream.ts
@@ -7,7 +7,7 @@
 import {rankMembers} from './rendezvous.js';
 
 /** A node's place. */
-export type ConfigPlace = {
+export type ConfigPosition = {
 	/** Whether it watches the object API itself. */
 	readonly isWatcher: boolean;
 	/** `ip:port` of the nodes to ask, the best first. */
@@ -43,7 +43,7 @@
 
 @param entries - The live entry VMs. One that is not among them watches: the list lags, and the object API is always a right source.
 */
-export const placeOfEntry = (entries: readonly VmEntry[], self: string): ConfigPlace => {
+export const positionOfEntry = (entries: readonly VmEntry[], self: string): ConfigPosition => {
 	const domain = entries.find(({name}) => name === self)?.failureDomain;
 	const watchers = rankMembers(self, configWatchers(entries));
 	const ranked = domain === undefined ? [] : rankedIn(entries, domain);
--- a/src/common/fair-queue.ts
+++ b/src/common/fair-queue.ts
@@ -103,7 +103,7 @@
 	}
 
 	/** The tokens that go before an item that came now: those of other accounts only as far as they are ahead in fair order. */
-	tokensBefore(item: QueueItem): number {
+	tokensAheadOf(item: QueueItem): number {
 		const own = this.#waiting.get(item.account);
 		const start = Math.max(own?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
 		const finish = start + ((own?.queuedTokens ?? 0) / item.share);
@@ -122,7 +122,7 @@
 
 	@returns The item that has to give way, still in the queue; undefined when the new item's own account would have most.
 	*/
-	surplusFor(item: QueueItem): Item | undefined {
+	evictionCandidateFor(item: QueueItem): Item | undefined {
 		const own = this.#waiting.get(item.account);
 		let most = ((own?.queuedTokens ?? 0) + item.costTokens) / item.share;
 		let surplus: Lane<Item> | undefined;
--- a/src/common/finished-choices.ts
+++ b/src/common/finished-choices.ts
@@ -5,20 +5,20 @@
 import type {JsonObject} from './protocol.js';
 
 /** The number of choices that a request asks for. */
-export const choicesWanted = ({n}: JsonObject): number => Number.isInteger(n) ? Math.max(1, n as number) : 1;
+export const requestedChoices = ({n}: JsonObject): number => Number.isInteger(n) ? Math.max(1, n as number) : 1;
 
 /** Counts the choices that an engine gave a reason to finish for. */
 export class FinishedChoices {
 	readonly #wanted: number;
 	readonly #finished = new Set<number>();
 
-	/** @param wanted - See {@link choicesWanted}. */
+	/** @param wanted - See {@link requestedChoices}. */
 	constructor(wanted: number) {
 		this.#wanted = wanted;
 	}
 
 	/** True once every choice that was asked for has its reason to finish. */
-	get isWhole(): boolean {
+	get isComplete(): boolean {
 		return this.#finished.size >= this.#wanted;
 	}
 
--- a/src/common/job-order.ts
+++ b/src/common/job-order.ts
@@ -6,7 +6,7 @@
 import type {JobId} from './ids.js';
 
 /** What a job asks for. Times are milliseconds since 1970. */
-export type JobClaim = {
+export type JobCandidate = {
 	readonly jobId: JobId;
 	readonly account: string;
 	/** The account's share. */
@@ -20,10 +20,10 @@
 export const lateFactor = 4;
 
 /** True when the job is past its due time, or will be at its present rate. */
-export const isLate = ({dueAt, estimatedEndAt}: JobClaim, now: number): boolean => now >= dueAt || (estimatedEndAt ?? 0) > dueAt;
+export const isLate = ({dueAt, estimatedEndAt}: JobCandidate, now: number): boolean => now >= dueAt || (estimatedEndAt ?? 0) > dueAt;
 
-/** The job's weight at agents and in {@link pickClaim}. */
-export const weightOf = (claim: JobClaim, now: number): number => claim.share * (isLate(claim, now) ? lateFactor : 1);
+/** The job's weight at agents and in {@link selectJob}. */
+export const weightOf = (claim: JobCandidate, now: number): number => claim.share * (isLate(claim, now) ? lateFactor : 1);
 
 /**
 The claim to serve next.
@@ -32,7 +32,7 @@
 @param itemsOf - Items under way of an account.
 @returns Undefined when there are no claims.
 */
-export const pickClaim = (claims: readonly JobClaim[], itemsOf: (account: string) => number, now: number): JobClaim | undefined => claims
+export const selectJob = (claims: readonly JobCandidate[], itemsOf: (account: string) => number, now: number): JobCandidate | undefined => claims
 	.map(claim => ({claim, load: itemsOf(claim.account) / weightOf(claim, now)}))
 	.toSorted((a, b) => a.load - b.load || a.claim.dueAt - b.claim.dueAt || (a.claim.jobId < b.claim.jobId ? -1 : 1))
 	.at(0)?.claim;
--- a/src/common/job-run.ts
+++ b/src/common/job-run.ts
@@ -105,12 +105,12 @@
 	}
 
 	/** True when there is a chunk to grant. */
-	get hasChunk(): boolean {
+	get hasGrantableChunk(): boolean {
 		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekFresh() >= 0;
 	}
 
 	/** Committed chunks whose counts are not known here: results written under an earlier coordinator. */
-	get uncounted(): readonly number[] {
+	get uncountedChunks(): readonly number[] {
 		return [...this.#committed].filter(([, counts]) => counts === undefined).map(([chunk]) => chunk);
 	}
 
@@ -129,18 +129,18 @@
 	}
 
 	/** Puts a chunk back that no agent took. */
-	putBack(chunk: number): void {
+	returnChunk(chunk: number): void {
 		this.#granted.delete(chunk);
 		this.#returned.unshift(chunk);
 	}
 
-	grantedTo(granted: GrantedChunk): void {
+	recordGrant(granted: GrantedChunk): void {
 		if (!this.#committed.has(granted.chunk)) {
 			this.#granted.set(granted.chunk, granted);
 		}
 	}
 
-	reported(report: ChunkReport): void {
+	applyReport(report: ChunkReport): void {
 		const granted = this.#granted.get(report.chunk);
 		if (!granted) {
 			return;
--- a/src/common/lease-keeper.steps.ts
+++ b/src/common/lease-client.steps.ts
@@ -4,22 +4,22 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {branded} from './ids.js';
-import {LeaseKeeper} from './lease-keeper.js';
+import {LeaseClient} from './lease-client.js';
 import {FakeObjectApi} from './testing/fake-object-api.js';
 import {ManualClock} from './testing/manual-clock.js';
 import type {TestWorld} from './testing/test-world.js';
 
-type LeaseWorld = TestWorld & {clock: ManualClock; api: FakeObjectApi; keepers: LeaseKeeper[]; fenceBefore: number};
+type LeaseWorld = TestWorld & {clock: ManualClock; api: FakeObjectApi; keepers: LeaseClient[]; fenceBefore: number};
 
 const ttlMs = 1000;
 const name = 'jobs-0';
 const handovers = 3;
 
-const keeperOf = (world: LeaseWorld, self: string) => new LeaseKeeper(world.api, world.clock, {name, self: branded(self), ttlMs});
+const keeperOf = (world: LeaseWorld, self: string) => new LeaseClient(world.api, world.clock, {name, self: branded(self), ttlMs});
 
 const tendAll = async ({keepers}: LeaseWorld) => {
 	for (const [rank, keeper] of keepers.entries()) {
-		await keeper.tend(rank);
+		await keeper.acquireOrRenew(rank);
 	}
 };
 
@@ -31,13 +31,13 @@
 });
 
 Given('the first holds it', async function (this: LeaseWorld) {
-	const [first, second] = this.keepers as [LeaseKeeper, LeaseKeeper];
+	const [first, second] = this.keepers as [LeaseClient, LeaseClient];
 	// Changing hands raises the fencing number.
 	for (let handover = 0; handover < handovers; handover += 1) {
 		await first.release();
-		await second.tend(0);
+		await second.acquireOrRenew(0);
 		await second.release();
-		await first.tend(0);
+		await first.acquireOrRenew(0);
 	}
 
 	assert.ok(first.isHeld);
@@ -46,13 +46,13 @@
 
 When('the lease\'s object is deleted and the first tends it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
-	await this.keepers[0]!.tend(0);
+	await this.keepers[0]!.acquireOrRenew(0);
 });
 
 When('the lease\'s object is deleted and a new entry tends it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
 	const late = keeperOf(this, 'entry-3');
-	await late.tend(0);
+	await late.acquireOrRenew(0);
 	this.keepers = [late];
 });
 
--- a/src/common/lease-keeper.ts
+++ b/src/common/lease-client.ts
@@ -5,7 +5,7 @@
 */
 import type {DecisionTrace} from './decision-trace.js';
 import {
-	decideLease, type HolderName, type LeaseDecision, type LeaseQuestion, type LeaseValue, type LeaseView,
+	decideLease, type HolderName, type LeaseDecision, type LeaseRequest, type LeaseValue, type LeaseView,
 } from './lease.js';
 import type {Fence, Revision} from './ids.js';
 import type {Clock, ObjectApi} from './services.js';
@@ -24,7 +24,7 @@
 const safetyShare = 0.1;
 
 /** One lease. */
-export class LeaseKeeper {
+export class LeaseClient {
 	readonly #api: ObjectApi;
 	readonly #clock: Clock;
 	readonly #options: LeaseOptions;
@@ -63,9 +63,9 @@
 	/**
 	Looks at the lease and does what is to be done. To be called a few times in each `ttlMs`.
 
-	@param rank - See {@link LeaseQuestion.rank}.
+	@param rank - See {@link LeaseRequest.rank}.
 	*/
-	async tend(rank: number): Promise<void> {
+	async acquireOrRenew(rank: number): Promise<void> {
 		if (!this.isHeld) {
 			await this.#look();
 		}
@@ -77,7 +77,7 @@
 		}
 
 		const now = this.#clock.now();
-		const question: LeaseQuestion = {
+		const question: LeaseRequest = {
 			view: this.#view, self, rank, ttlMs, now, ...(highestFence !== undefined && {highestFence}),
 		};
 		const decision = decideLease(question);
--- a/src/common/lease.ts
+++ b/src/common/lease.ts
@@ -34,7 +34,7 @@
 		| {readonly kind: 'wait'};
 
 /** Who asks, and with what claim. */
-export type LeaseQuestion = {
+export type LeaseRequest = {
 	readonly view: LeaseView;
 	readonly self: HolderName;
 	/** Place among those who may hold it: 0 takes it at once when it is free, the others give the ones before them time. */
@@ -47,14 +47,14 @@
 
 const wait: LeaseDecision = {kind: 'wait'};
 
-const isFree = ({view, rank, ttlMs, now}: LeaseQuestion): boolean => {
+const isFree = ({view, rank, ttlMs, now}: LeaseRequest): boolean => {
 	const age = now - view.seenAt;
 	const patience = rank * ttlMs;
 	return view.value?.holder === '' ? age >= patience : age >= (view.value?.ttlMs ?? ttlMs) + patience;
 };
 
 /** Decides about one lease at one moment. */
-export const decideLease = (question: LeaseQuestion): LeaseDecision => {
+export const decideLease = (question: LeaseRequest): LeaseDecision => {
 	const {view, self, rank, ttlMs, now, highestFence = 0} = question;
 	if (!view.value || view.version === undefined) {
 		const patience = (rank + (view.isDeleted ? 1 : 0)) * ttlMs;
--- a/src/common/long-prompts.ts
+++ b/src/common/long-prompts.ts
@@ -7,7 +7,7 @@
 export type LongPrompt = {readonly key: string};
 
 /** How long, in milliseconds since it could first have started, a long prompt gives way. */
-export const givesWayMs = 60_000;
+export const yieldPeriodMs = 60_000;
 
 /** The long prompts of one agent. */
 export class LongPrompts<Item extends LongPrompt> {
@@ -25,14 +25,14 @@
 	}
 
 	/** True while the item is to make way for online work. */
-	givesWay({key}: Item): boolean {
-		const until = this.#until.get(key) ?? this.#clock.now() + givesWayMs;
+	shouldYield({key}: Item): boolean {
+		const until = this.#until.get(key) ?? this.#clock.now() + yieldPeriodMs;
 		this.#until.set(key, until);
 		return this.#clock.now() < until;
 	}
 
 	/** Holds an item back. */
-	hold(item: Item): void {
+	holdBack(item: Item): void {
 		this.#held.push(item);
 	}
 
@@ -42,7 +42,7 @@
 			return [];
 		}
 
-		const staying = isOnlinePresent ? this.#held.filter(item => this.givesWay(item)) : [];
+		const staying = isOnlinePresent ? this.#held.filter(item => this.shouldYield(item)) : [];
 		const released = this.#held.filter(item => !staying.includes(item));
 		this.#held = staying;
 		return released;
@@ -56,7 +56,7 @@
 	}
 
 	/** Forgets an item that has ended. */
-	forget(key: string): void {
+	clearYieldDeadline(key: string): void {
 		this.#until.delete(key);
 	}
 }
--- /dev/null
+++ b/src/common/message-validators.ts
@@ -0,0 +1,45 @@
+/**
+Tests of the parameters that nodes send each other, by method. A peer of another version, or another process at a peer's old address, may send anything; what is taken unchecked breaks much later, when it is read: a count that is no object in the sums for a third node, a fencing number that is no number in each comparison after it.
+*/
+import {
+	isNonNegativeNumber, isNonNegativeInteger, isBoolean, isObject, isString, isNonEmptyString, listOf, objectOf, oneOf, optional, type FieldValidator,
+} from './field-validators.js';
+
+const attemptKey = objectOf({id: isNonEmptyString, attempt: isNonNegativeInteger});
+const chunkKey = objectOf({jobId: isNonEmptyString, chunk: isNonNegativeInteger});
+const areCounts = listOf(objectOf({version: isNonNegativeInteger, nodes: isNonNegativeInteger}));
+
+const areFailedRuns = listOf(objectOf({run: isNonEmptyString, item: isNonEmptyString, replica: isNonEmptyString}));
+
+/** What is known of a batch item between its runs, also where it is written into the object API. */
+export const isItemProgress = objectOf({id: isNonEmptyString, events: listOf(isString), failedRuns: areFailedRuns});
+const isItemResult = objectOf({id: isNonEmptyString, state: oneOf('completed', 'errored'), output: isString});
+
+const chunkGrant = objectOf({
+	jobId: isNonEmptyString, chunk: isNonNegativeInteger, inputName: isNonEmptyString, results: isNonEmptyString, fileId: isNonEmptyString, endpoint: isNonEmptyString, model: isNonEmptyString, account: isNonEmptyString, share: isNonNegativeNumber, fence: isNonNegativeInteger, expiresInMs: isNonNegativeNumber, isolate: isBoolean, round: isNonNegativeInteger,
+});
+
+/** The tests of all methods between nodes that take parameters. */
+export const messageValidators: Readonly<Record<string, FieldValidator>> = {
+	'config.changes': objectOf({
+		node: isNonEmptyString, since: isNonNegativeInteger, waitMs: isNonNegativeNumber, scope: optional(objectOf({kinds: optional(listOf(isNonEmptyString)), name: optional(isNonEmptyString)})), counts: optional(areCounts), wantsDigest: optional(isBoolean),
+	}),
+	'config.counts': optional(isObject),
+	'gateway.holdJob': objectOf({record: isObject, content: isObject}),
+	'gateway.objectCall': objectOf({operation: oneOf('get', 'create', 'update', 'remove', 'list', 'watch'), kind: isNonEmptyString}),
+	'gateway.takeOver': objectOf({job: isNonEmptyString, items: listOf(isItemProgress), results: listOf(isItemResult)}),
+	'gateway.state': objectOf({
+		member: isNonEmptyString, address: isNonEmptyString, rpcAddress: isNonEmptyString, reachesObjectApi: isBoolean, startedAt: isNonNegativeNumber, seq: isNonNegativeInteger, isLeaving: isBoolean, loads: listOf(objectOf({
+			replica: isNonEmptyString, startedAt: optional(Number.isSafeInteger), online: isNonNegativeInteger, batch: isNonNegativeInteger,
+		})), outcomes: optional(listOf(objectOf({
+			replica: isNonEmptyString, startedAt: optional(Number.isSafeInteger), requests: isNonNegativeNumber, failures: isNonNegativeNumber,
+		}))), crashes: optional(listOf(objectOf({content: isNonEmptyString, start: isNonEmptyString}))), acquitted: optional(listOf(isNonEmptyString)), failedRuns: optional(areFailedRuns), accountUsage: optional(listOf(objectOf({account: isNonEmptyString, admitted: Number.isSafeInteger, asked: isNonNegativeInteger}))), checks: optional(listOf(objectOf({kind: isNonEmptyString, changedAt: isNonNegativeInteger, ageMs: isNonNegativeNumber}))), jobs: listOf(isNonEmptyString), waiting: optional(listOf(objectOf({route: isNonEmptyString, timely: isNonNegativeInteger, late: isNonNegativeInteger}))),
+	}),
+	'agent.load': objectOf({cacheSince: optional(isNonNegativeInteger)}),
+	'ledger.revoke': objectOf({key: attemptKey, issuedAt: isNonNegativeNumber, deadlineInMs: Number.isFinite}),
+	'attempt.cancel': objectOf({key: attemptKey}),
+	'batch.grant': objectOf({shard: isNonEmptyString, grant: chunkGrant}),
+	'batch.renew': objectOf({
+		shard: isNonEmptyString, fence: isNonNegativeInteger, round: isNonNegativeInteger, expiresInMs: isNonNegativeNumber, keep: value => oneOf('all')(value) || listOf(chunkKey)(value),
+	}),
+};
--- a/src/common/placement-policy.steps.ts
+++ b/src/common/placement-policy.steps.ts
@@ -4,12 +4,12 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import type {PlacedModel} from './placement.js';
-import {placeModels, type PlacementServer, type WantedModel} from './placement-policy.js';
+import {placeModels, type PlacementServer, type DesiredModel} from './placement-policy.js';
 import type {TestWorld} from './testing/test-world.js';
 
 type Engine = {vm: string; failureDomain: string; loaded: PlacedModel[]; assigned: PlacedModel[] | undefined; loading: {model: PlacedModel; steps: number} | undefined; isLost: boolean};
 type Seen = {readonly ready: number; readonly loads: number};
-type PlacementWorld = TestWorld & {engines: Engine[]; wanted: WantedModel; maxLoads: number; seen: Seen[]};
+type PlacementWorld = TestWorld & {engines: Engine[]; wanted: DesiredModel; maxLoads: number; seen: Seen[]};
 
 const model = 'tyre-scribe';
 const loadSteps = 2;
--- a/src/common/placement-policy.ts
+++ b/src/common/placement-policy.ts
@@ -5,7 +5,7 @@
 import {rankMembers} from './rendezvous.js';
 
 /** A model as operators want it. */
-export type WantedModel = PlacedModel & {
+export type DesiredModel = PlacedModel & {
 	/** Default: every server that may have it. */
 	readonly replicas?: number;
 	/** Default: one less than the replicas. */
@@ -64,7 +64,7 @@
 	.length;
 
 /** Keeps who has the model, so that nothing is unloaded before as many others have it; then takes servers where the failure domain has the fewest. */
-const chooseServers = (wanted: WantedModel, candidates: readonly PlacementServer[], target: number) => {
+const chooseServers = (wanted: DesiredModel, candidates: readonly PlacementServer[], target: number) => {
 	const ranked = rankMembers(wanted.model, candidates.map(({vm}) => vm)).map(vm => candidates.find(server => server.vm === vm)!);
 	const weight = ({assigned, loaded}: PlacementServer) => (modelIn(loaded, wanted.model) ? 2 : 0) + (modelIn(assigned, wanted.model) ? 1 : 0);
 	const chosen: PlacementServer[] = [];
@@ -79,7 +79,7 @@
 	return {chosen, left};
 };
 
-const planModel = (wanted: WantedModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
+const planModel = (wanted: DesiredModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
 	const candidates = servers.filter(({allowed}) => allowed.includes(wanted.model));
 	const target = Math.min(wanted.replicas ?? candidates.length, candidates.length);
 	// Where nothing may be missing, no server could ever change its version.
@@ -126,7 +126,7 @@
 @param servers - The live engines.
 @param maxLoads - Loads that may be under way at once, over the whole fleet: what the weight store bears.
 */
-export const placeModels = (wanted: readonly WantedModel[], servers: readonly PlacementServer[], maxLoads: number): Placement => {
+export const placeModels = (wanted: readonly DesiredModel[], servers: readonly PlacementServer[], maxLoads: number): Placement => {
 	let spareLoads = maxLoads - loadsUnderWay(servers);
 	const plans = wanted.map(model => {
 		const plan = planModel(model, servers, spareLoads);
--- a/src/common/placement.ts
+++ b/src/common/placement.ts
@@ -20,7 +20,7 @@
 	readonly unload: readonly string[];
 };
 
-/** Who holds the placement, and what it knew when it began: kind `Assignment`, named {@link epochName}. */
+/** Who holds the placement, and what it knew when it began: kind `Assignment`, named {@link placementEpochName}. */
 export type PlacementEpoch = {
 	readonly fence: Fence;
 	/** Assignments up to this version were known to the holder when it took over, whoever wrote them. */
@@ -28,10 +28,10 @@
 };
 
 /** The placement's lease. */
-export const placementLease = 'placement';
+export const placementLeaseName = 'placement';
 
 /** The epoch's name; no VM is called so. */
-export const epochName = '_epoch';
+export const placementEpochName = '_epoch';
 
 /** An order to an engine. */
 export type ModelOrder = PlacedModel & {readonly order: 'load' | 'unload'};
@@ -51,4 +51,4 @@
 /**
 Whether an assignment still counts. A holder that was paused past its lease may write one when it wakes up; it carries the old number, and its version is one that the new holder had not seen when it began.
 */
-export const isCurrent = (assignment: Pick<Assignment, 'fence'>, version: Revision, epoch: PlacementEpoch): boolean => assignment.fence >= epoch.fence || version <= epoch.knownUpTo;
+export const isCurrentAssignment = (assignment: Pick<Assignment, 'fence'>, version: Revision, epoch: PlacementEpoch): boolean => assignment.fence >= epoch.fence || version <= epoch.knownUpTo;
--- a/src/common/prefix-index.steps.ts
+++ b/src/common/prefix-index.steps.ts
@@ -16,8 +16,8 @@
 const maxBlocks = 100;
 
 const confirm = ({mirror, index}: State, prompt: readonly BlockHash[], seq: number) => {
-	const held = mirror.held(prompt);
-	mirror.answered(held);
+	const held = mirror.heldPrefix(prompt);
+	mirror.recordAnsweredPrompt(held);
 	index.confirmed(vm, held.slice(-1), seq);
 };
 
--- a/src/common/prefix-index.ts
+++ b/src/common/prefix-index.ts
@@ -60,7 +60,7 @@
 	}
 
 	/** Forgets a replica, for instance when its process was restarted. */
-	forget(vm: VmName): void {
+	removeReplica(vm: VmName): void {
 		this.#known.delete(vm);
 	}
 
--- a/src/common/replay.steps.ts
+++ b/src/common/replay.steps.ts
@@ -7,14 +7,14 @@
 import type {DecisionRecord, LeaseRecord} from './decision-trace.js';
 import {decideLease} from './lease.js';
 import type {ReplicaView} from './replica-table.js';
-import {chooseReplica, type RouteChoice, type RouteQuestion} from './route-policy.js';
+import {chooseReplica, type RouteChoice, type RouteCriteria} from './route-policy.js';
 import {
-	askedQuestion, recordedChoice, routeDigest, type RouteRecord,
+	criteriaFromRecord, recordedChoice, routeDigest, type RouteRecord,
 } from './route-record.js';
 import {ReplayedDraws} from './replayed-draws.js';
 import type {TestWorld} from './testing/test-world.js';
 
-type Replayed = {readonly record: RouteRecord; readonly question: RouteQuestion; readonly choice: RouteChoice | undefined; readonly drawsLeft: number};
+type Replayed = {readonly record: RouteRecord; readonly question: RouteCriteria; readonly choice: RouteChoice | undefined; readonly drawsLeft: number};
 type ReplayWorld = TestWorld & {routes: Replayed[]; leases: LeaseRecord[]; count: number};
 
 // JSON has no infinities: a replica that was never heard has no time.
@@ -26,7 +26,7 @@
 	.map(line => JSON.parse(line, revive) as T);
 
 const replay = (record: RouteRecord): Replayed => {
-	const question = askedQuestion(record);
+	const question = criteriaFromRecord(record);
 	const draws = new ReplayedDraws(record.draws);
 	const choice = chooseReplica(question, draws);
 	return {
--- a/src/common/replica-table.steps.ts
+++ b/src/common/replica-table.steps.ts
@@ -37,7 +37,7 @@
 	this.table = new ReplicaTable(new ManualClock(), silentMs);
 	this.table.applyVmList(namesIn(names).map(vmEntry));
 	namesIn(names).forEach(name => {
-		this.table.heard(branded(name), report(name));
+		this.table.applyReport(branded(name), report(name));
 	});
 });
 
--- a/src/common/replica-table.ts
+++ b/src/common/replica-table.ts
@@ -28,7 +28,7 @@
 };
 
 /** What is known of a target's replicas, for a line that tells why none of them gets work. */
-export type TargetSight = {
+export type TargetAvailability = {
 	/** Replicas of any kind. */
 	readonly replicas: number;
 	/** Replicas whose last report says that they serve the target. */
@@ -48,7 +48,7 @@
 // The list lags and may miss a VM for a read; one that still answers is dropped only after this many lists without it.
 const missesBeforeDrop = 2;
 /** While no replica is heard, each keeps getting work for this many times longer; after that this process is cut off, and refuses at once. */
-export const unheardFactor = 3;
+export const allUnresponsiveFactor = 3;
 
 // About 200 kB for each replica at the most.
 const maxPrefixBlocks = 2000;
@@ -101,13 +101,13 @@
 			row.leaving = true;
 			if (row.missed >= missesBeforeDrop && row.ownInFlight === 0) {
 				this.#rows.delete(row.vm);
-				this.prefixes.forget(row.vm);
+				this.prefixes.removeReplica(row.vm);
 			}
 		});
 	}
 
 	/** Takes over a report that came by any way. One that a later report has overtaken shows only that the replica answers. */
-	heard(vm: VmName, load: LoadReport): void {
+	applyReport(vm: VmName, load: LoadReport): void {
 		const row = this.#rows.get(vm);
 		if (row && isOvertaken(load, row.load)) {
 			row.heardAt = this.#clock.now();
@@ -127,7 +127,7 @@
 
 	@param ms - For how long.
 	*/
-	notePause(ms: number): void {
+	compensateForPause(ms: number): void {
 		this.#rows.forEach(row => {
 			row.heardAt += ms;
 		});
@@ -162,15 +162,15 @@
 	/**
 	Milliseconds without a report after which a replica gets no new work at this moment. When all are silent at once, more likely this process cannot hear, for instance on a busy machine, than that all have ended in the same second: they get work for longer, or every caller would be told that there is no replica.
 	*/
-	silenceAllowedMs(now = this.#clock.now()): number {
+	effectiveReportTimeoutMs(now = this.#clock.now()): number {
 		const rows = [...this.#rows.values()];
 		const hearsNone = rows.length > 1 && rows.every(({heardAt}) => now - heardAt > this.silentMs);
-		return hearsNone ? unheardFactor * this.silentMs : this.silentMs;
+		return hearsNone ? allUnresponsiveFactor * this.silentMs : this.silentMs;
 	}
 
 	/** The replicas that may get new work for `target`, for instance `model:tyre-scribe`. */
 	routable(target: string, now = this.#clock.now()): ReplicaView[] {
-		const silentMs = this.silenceAllowedMs(now);
+		const silentMs = this.effectiveReportTimeoutMs(now);
 		return [...this.#rows.values()].filter(row => isRoutable(row, {target, now, silentMs}));
 	}
 
@@ -185,8 +185,8 @@
 		return [...this.#rows.values()].some(row => row.load?.serves.includes(target));
 	}
 
-	/** See {@link TargetSight}. */
-	sightOf(target: string, now = this.#clock.now()): TargetSight {
+	/** See {@link TargetAvailability}. */
+	availabilityOf(target: string, now = this.#clock.now()): TargetAvailability {
 		const serving = [...this.#rows.values()].filter(({load}) => load?.serves.includes(target)).toSorted((a, b) => b.heardAt - a.heardAt);
 		const [youngest] = serving;
 		return {
@@ -196,7 +196,7 @@
 
 	#noteCache(row: Row, load: LoadReport) {
 		if (row.load && row.load.incarnation !== load.incarnation) {
-			this.prefixes.forget(row.vm);
+			this.prefixes.removeReplica(row.vm);
 		}
 
 		if (load.cache) {
--- a/src/common/request-ledger.ts
+++ b/src/common/request-ledger.ts
@@ -34,7 +34,7 @@
 export type BeginOutcome = 'new' | 'known' | 'revoked';
 
 /** How long the ledger remembers at least what became of an attempt, its chunks aside. */
-export const ledgerMemoryMs = 300_000;
+export const ledgerRetentionMs = 300_000;
 
 type Entry = {
 	state: 'queued' | 'running' | 'done' | 'revoked';
@@ -140,7 +140,7 @@
 		entry.state = end.event === 'refused' ? 'revoked' : 'done';
 		entry.end = end;
 		entry.readableUntil = now + this.#limits.retainMs;
-		entry.until = Math.max(entry.until, now + ledgerMemoryMs);
+		entry.until = Math.max(entry.until, now + ledgerRetentionMs);
 		this.#endedBytes += entry.bytes;
 		const readers = [...entry.readers?.values() ?? []];
 		entry.readers = undefined;
@@ -177,7 +177,7 @@
 	}
 
 	/** Says that a reader has had the whole answer. */
-	delivered(key: AttemptKey): void {
+	markDelivered(key: AttemptKey): void {
 		const entry = this.#entries.get(nameOf(key));
 		if (entry) {
 			entry.isDelivered = true;
@@ -185,13 +185,13 @@
 	}
 
 	/** Takes a reader away, for instance when its connection closed. False when it did not read any more. */
-	leave(key: AttemptKey, reader: LedgerReader): boolean {
+	removeReader(key: AttemptKey, reader: LedgerReader): boolean {
 		const readers = this.#entries.get(nameOf(key))?.readers;
 		return readers?.get(reader.name) === reader && readers.delete(reader.name);
 	}
 
 	/** True while somebody reads the attempt's answer. */
-	isRead(key: AttemptKey): boolean {
+	hasReaders(key: AttemptKey): boolean {
 		return (this.#entries.get(nameOf(key))?.readers?.size ?? 0) > 0;
 	}
 
@@ -232,14 +232,14 @@
 
 	#add(attempt: IssuedAttempt, state: Entry['state'], deadlineInMs: number) {
 		// Counted from now, while `issuedAt` lies in the past: when this is forgotten, the attempt is beyond the memory.
-		const until = this.#clock.now() + Math.max(deadlineInMs + this.#limits.retainMs, ledgerMemoryMs);
+		const until = this.#clock.now() + Math.max(deadlineInMs + this.#limits.retainMs, ledgerRetentionMs);
 		this.#entries.set(nameOf(attempt), {
 			state, chunks: [], count: 0, bytes: 0, isDelivered: false, readableUntil: until, until,
 		});
 	}
 
 	#isBeyondMemory({issuedAt}: IssuedAttempt): boolean {
-		return issuedAt <= this.#clock.now() - ledgerMemoryMs;
+		return issuedAt <= this.#clock.now() - ledgerRetentionMs;
 	}
 
 	#dropChunks(entry: Entry) {
--- a/src/common/resource-check.ts
+++ b/src/common/resource-check.ts
@@ -2,22 +2,22 @@
 Checks the objects that operators and their tools write, where they come in from the object API. The object API takes any value, and citronctl's own check does not bind other writers. Only what this system reads is checked, so that a newer version's additional fields do no harm.
 */
 import {
-	isCount, isFlag, isObject, isPositive, isText, isTime, listOf, oneOf, optional, wrongField, type FieldTests,
-} from './field-tests.js';
+	isNonNegativeInteger, isBoolean, isObject, isPositiveNumber, isNonEmptyString, isTimestamp, listOf, oneOf, optional, invalidField, type FieldValidators,
+} from './field-validators.js';
 import type {ObjectKind} from './types.js';
 
-const areTexts = listOf(isText);
+const areTexts = listOf(isNonEmptyString);
 
-const specTests: Partial<Record<ObjectKind, FieldTests>> = {
-	ServedModel: {version: isText, replicas: optional(isCount), minReady: optional(isCount)},
-	ModelVersion: {weights: isText, adapter: optional(isText), bytes: optional(isCount)},
-	OnlineService: {idempotentMethods: optional(areTexts), timeoutMs: optional(isPositive)},
-	ClientAccount: {keySha256: areTexts, share: optional(isPositive), maxInFlight: optional(isCount)},
+const specTests: Partial<Record<ObjectKind, FieldValidators>> = {
+	ServedModel: {version: isNonEmptyString, replicas: optional(isNonNegativeInteger), minReady: optional(isNonNegativeInteger)},
+	ModelVersion: {weights: isNonEmptyString, adapter: optional(isNonEmptyString), bytes: optional(isNonNegativeInteger)},
+	OnlineService: {idempotentMethods: optional(areTexts), timeoutMs: optional(isPositiveNumber)},
+	ClientAccount: {keySha256: areTexts, share: optional(isPositiveNumber), maxInFlight: optional(isNonNegativeInteger)},
 	BackendServer: {
-		type: oneOf('engine', 'service'), models: optional(areTexts), service: optional(isText), checksFence: optional(isFlag),
+		type: oneOf('engine', 'service'), models: optional(areTexts), service: optional(isNonEmptyString), checksFence: optional(isBoolean),
 	},
 	BatchJob: {
-		account: isText, jobKey: isText, inputFileId: isText, endpoint: isText, dueTime: isTime, createdTime: isTime, cancelled: optional(isFlag),
+		account: isNonEmptyString, jobKey: isNonEmptyString, inputFileId: isNonEmptyString, endpoint: isNonEmptyString, dueTime: isTimestamp, createdTime: isTimestamp, cancelled: optional(isBoolean),
 	},
 };
 
@@ -40,6 +40,6 @@
 		return 'metadata.name is not the object\'s name';
 	}
 
-	const wrong = wrongField(value.spec, tests);
+	const wrong = invalidField(value.spec, tests);
 	return wrong && `spec.${wrong} is missing or malformed`;
 };
--- a/src/common/route-policy.ts
+++ b/src/common/route-policy.ts
@@ -18,7 +18,7 @@
 };
 
 /** What a choice is made from. */
-export type RouteQuestion = {
+export type RouteCriteria = {
 	readonly replicas: readonly ReplicaView[];
 	/** Replicas that this request was at already; used again only when there is no other. */
 	readonly tried: ReadonlySet<VmName>;
@@ -52,7 +52,7 @@
 // Requests beyond the share of the backend server's places that late views may fill by mistake.
 const crowdingOf = ({load}: ReplicaView) => load ? Math.max(0, load.running + load.queued - (load.maxRunning * uncrowdedShare)) : 0;
 
-const scoreOf = (replica: ReplicaView, question: RouteQuestion, weights: RouteWeights) => {
+const scoreOf = (replica: ReplicaView, question: RouteCriteria, weights: RouteWeights) => {
 	const {load} = replica;
 	const ahead = (load?.pendingTokens ?? 0) + replica.ownTokensSince;
 	const own = question.costTokens - ((question.cachedTokens?.(replica.vm) ?? 0) * weights.perCachedToken);
@@ -66,7 +66,7 @@
 @param random - Breaks ties, so that many entries with the same view do not all choose the same replica.
 @returns The choice, or undefined when there is no replica.
 */
-export const chooseReplica = (question: RouteQuestion, random: RandomSource): RouteChoice | undefined => {
+export const chooseReplica = (question: RouteCriteria, random: RandomSource): RouteChoice | undefined => {
 	const weights = {...defaultWeights, ...question.weights};
 	const untried = question.replicas.filter(replica => !question.tried.has(replica.vm));
 	const candidates = untried.length > 0 ? untried : question.replicas;
--- a/src/common/route-record.ts
+++ b/src/common/route-record.ts
@@ -6,11 +6,11 @@
 import type {RequestId, VmName} from './ids.js';
 import type {LoadReport} from './protocol.js';
 import {isRoutable, type ReplicaView} from './replica-table.js';
-import type {RouteChoice, RouteQuestion} from './route-policy.js';
+import type {RouteChoice, RouteCriteria} from './route-policy.js';
 import {h64ToString} from './xxhash.js';
 
 /** What a routing policy was asked, without its functions. */
-export type RecordedQuestion = Omit<RouteQuestion, 'replicas' | 'tried' | 'cachedTokens'> & {
+export type RecordedCriteria = Omit<RouteCriteria, 'replicas' | 'tried' | 'cachedTokens'> & {
 	readonly tried: readonly VmName[];
 	/** Cached prompt tokens, by VM; VMs without any are left out. */
 	readonly cachedTokens: Readonly<Record<string, number>>;
@@ -36,7 +36,7 @@
 	readonly attempt: number;
 	readonly digest: string;
 	readonly view: RouteView;
-	readonly question: RecordedQuestion;
+	readonly question: RecordedCriteria;
 	/** What the policy drew by chance, in order. */
 	readonly draws: readonly number[];
 	/** Left out when there was no replica. */
@@ -44,14 +44,14 @@
 };
 
 /** A question as plain data. */
-export const recordedQuestion = ({replicas, tried, cachedTokens, ...plain}: RouteQuestion): RecordedQuestion => ({
+export const recordedCriteria = ({replicas, tried, cachedTokens, ...plain}: RouteCriteria): RecordedCriteria => ({
 	...plain,
 	tried: [...tried],
 	cachedTokens: Object.fromEntries(replicas.map(({vm}) => [vm, cachedTokens?.(vm) ?? 0] as const).filter(([, tokens]) => tokens > 0)),
 });
 
 /** The question as it was asked, from its record. */
-export const askedQuestion = ({view, question}: Pick<RouteRecord, 'view' | 'question'>): RouteQuestion => ({
+export const criteriaFromRecord = ({view, question}: Pick<RouteRecord, 'view' | 'question'>): RouteCriteria => ({
 	...question,
 	replicas: view.replicas.filter(replica => isRoutable(replica, view)),
 	tried: new Set(question.tried),
@@ -77,8 +77,8 @@
 const replicaText = ({load, ...row}: ReplicaView): string => `${Object.values(row).join(' ')} ${load ? loadDigest(load) : ''}`;
 
 /** A hash, 16 hexadecimal digits, of all that a choice was made from. */
-export const routeDigest = (question: RouteQuestion, draws: readonly number[]): string => h64ToString([
-	JSON.stringify(recordedQuestion(question)),
+export const routeDigest = (question: RouteCriteria, draws: readonly number[]): string => h64ToString([
+	JSON.stringify(recordedCriteria(question)),
 	draws.join(' '),
 	...question.replicas.map(replica => replicaText(replica)),
 ].join('\n'));
--- a/src/common/running-work.ts
+++ b/src/common/running-work.ts
@@ -1,24 +1,24 @@
 /**
 What runs in a backend server just now, with the tokens that it has got and has still to get. It decides nothing.
 */
-import {promptTokensOf, type Ticket} from './admission-types.js';
+import {ticketPromptTokens, type Ticket} from './admission-types.js';
 import type {WorkClass} from './protocol.js';
 
 /** Work in the backend server. Times are the clock's `now`, in milliseconds. */
-export type Running = {
+export type RunningItem = {
 	readonly ticket: Ticket;
 	readonly startedAt: number;
 	/** Tokens of the answer so far. */
 	readonly tokens: number;
 	/** When the last of them came; the start before the first. */
-	readonly tokenAt: number;
+	readonly lastTokenAt: number;
 };
 
-const tokensLeft = ({ticket, tokens}: Running): number => tokens === 0 ? ticket.costTokens : Math.max(0, ticket.costTokens - (ticket.promptTokens ?? 0) - tokens);
+const tokensLeft = ({ticket, tokens}: RunningItem): number => tokens === 0 ? ticket.costTokens : Math.max(0, ticket.costTokens - (ticket.promptTokens ?? 0) - tokens);
 
 /** See the module's head. */
 export class RunningWork {
-	readonly #byClass: Readonly<Record<WorkClass, Map<string, Running>>> = {online: new Map(), batch: new Map()};
+	readonly #byClass: Readonly<Record<WorkClass, Map<string, RunningItem>>> = {online: new Map(), batch: new Map()};
 	#onlineTokensLeft = 0;
 	#batchPrefillTokens = 0;
 
@@ -38,17 +38,17 @@
 	}
 
 	/** The work of a class, the oldest first. */
-	all(workClass: WorkClass): readonly Running[] {
+	all(workClass: WorkClass): readonly RunningItem[] {
 		return [...this.#byClass[workClass].values()];
 	}
 
-	get(key: string): Running | undefined {
+	get(key: string): RunningItem | undefined {
 		return this.#byClass.online.get(key) ?? this.#byClass.batch.get(key);
 	}
 
 	begin(ticket: Ticket, now: number): void {
 		this.#put({
-			ticket, startedAt: now, tokens: 0, tokenAt: now,
+			ticket, startedAt: now, tokens: 0, lastTokenAt: now,
 		});
 	}
 
@@ -57,12 +57,12 @@
 		const before = this.get(key);
 		if (before) {
 			this.#count(before, -1);
-			this.#put({...before, tokens: before.tokens + tokens, tokenAt: now});
+			this.#put({...before, tokens: before.tokens + tokens, lastTokenAt: now});
 		}
 	}
 
 	/** @returns What has left the backend server; nothing when it did not run. */
-	end(key: string): Running | undefined {
+	end(key: string): RunningItem | undefined {
 		const running = this.get(key);
 		if (running) {
 			this.#byClass[running.ticket.workClass].delete(key);
@@ -72,17 +72,17 @@
 		return running;
 	}
 
-	#put(running: Running) {
+	#put(running: RunningItem) {
 		this.#byClass[running.ticket.workClass].set(running.ticket.key, running);
 		this.#count(running, 1);
 	}
 
-	#count(running: Running, sign: 1 | -1) {
+	#count(running: RunningItem, sign: 1 | -1) {
 		const {ticket, tokens} = running;
 		if (ticket.workClass === 'online') {
 			this.#onlineTokensLeft += sign * tokensLeft(running);
 		} else if (tokens === 0) {
-			this.#batchPrefillTokens += sign * promptTokensOf(ticket);
+			this.#batchPrefillTokens += sign * ticketPromptTokens(ticket);
 		}
 	}
 }
--- a/src/common/subset-policy.ts
+++ b/src/common/subset-policy.ts
@@ -6,7 +6,7 @@
 import {rankMembers} from './rendezvous.js';
 
 /** What a subset is chosen from. */
-export type SubsetQuestion = {
+export type SubsetCriteria = {
 	/** The entry's VM. */
 	readonly self: string;
 	readonly failureDomain: FailureDomain;
@@ -25,13 +25,13 @@
 const undeclaredFactor = 4;
 
 /** What of a replica matters here. */
-export type Candidate = Pick<ReplicaView, 'vm' | 'failureDomain' | 'failures'>;
+export type SubsetCandidate = Pick<ReplicaView, 'vm' | 'failureDomain' | 'failures'>;
 
 /** True when another replica takes the place of this one, which fails again and again. */
-export const isReplaced = ({failures}: Candidate): boolean => failures >= failuresBeforeReplaced;
+export const isReplaced = ({failures}: SubsetCandidate): boolean => failures >= failuresBeforeReplaced;
 
-const chooseFor = (target: string, candidates: readonly Candidate[], {self, failureDomain, perTarget}: SubsetQuestion): VmName[] => {
-	const byName = new Map<string, Candidate>(candidates.map(candidate => [candidate.vm, candidate]));
+const chooseFor = (target: string, candidates: readonly SubsetCandidate[], {self, failureDomain, perTarget}: SubsetCriteria): VmName[] => {
+	const byName = new Map<string, SubsetCandidate>(candidates.map(candidate => [candidate.vm, candidate]));
 	const ranked = rankMembers(`${self}|${target}`, [...byName.keys()]).map(name => byName.get(name)!);
 	const near = ranked.filter(candidate => candidate.failureDomain === failureDomain).slice(0, Math.ceil(perTarget * nearShare));
 	const others = ranked.filter(candidate => !near.includes(candidate));
@@ -43,9 +43,9 @@
 
 @returns VMs to keep in touch with: `perTarget` of each target, and four times as many of those whose backend server is not declared; those that fail are named besides the ones that replace them.
 */
-export const chooseSubset = (question: SubsetQuestion): ReadonlySet<VmName> => {
+export const chooseSubset = (question: SubsetCriteria): ReadonlySet<VmName> => {
 	const undeclared: ReplicaView[] = [];
-	const byTarget = new Map<string, Candidate[]>();
+	const byTarget = new Map<string, SubsetCandidate[]>();
 	question.replicas.filter(({leaving}) => !leaving).forEach(replica => {
 		const targets = question.targetsOf(replica.vm);
 		if (!targets) {
--- a/src/common/testing/interrupted-answers.ts
+++ b/src/common/testing/interrupted-answers.ts
@@ -54,14 +54,14 @@
 };
 
 /** What an engine sends that is given the request, with or without a place to go on from. */
-export const laterRun = ({first, rest}: InterruptedAnswer, resume: ResumePoint | undefined): readonly AnswerChunk[] => resume ? [role, ...rest] : [...first, ...rest];
+export const continuationOf = ({first, rest}: InterruptedAnswer, resume: ResumePoint | undefined): readonly AnswerChunk[] => resume ? [role, ...rest] : [...first, ...rest];
 
 const saidInMessage = ({content, refusal, reasoning_content: reasoning, tool_calls: tools}: Message): string => [
 	reasoning, content, refusal, ...(tools ?? []).map(tool => `${tool.function.name}${tool.function.arguments}`),
 ].filter(Boolean).join('');
 
 /** All that choices say, of a whole answer or of the chunks of a stream, in one text each; with the number of their log probabilities, where they have some. */
-export const saidIn = (choices: readonly Choice[]): string[] => choices.map(({message, delta, text, logprobs}) => {
+export const generatedTexts = (choices: readonly Choice[]): string[] => choices.map(({message, delta, text, logprobs}) => {
 	const {length} = logprobs?.content ?? logprobs?.tokens ?? [];
 	return `${saidInMessage(message ?? delta ?? {content: text})}${length > 0 ? `(${length})` : ''}`;
 });
--- a/src/common/checked-table.ts
+++ b/src/common/validated-config-table.ts
@@ -7,7 +7,7 @@
 import type {EventDefinition} from './types.js';
 
 /** @param refused - The event that tells of an object that was not put in force. */
-export const checkedTable = (log: EventLog, refused: EventDefinition): ConfigTable => new ConfigTable({
+export const validatedConfigTable = (log: EventLog, refused: EventDefinition): ConfigTable => new ConfigTable({
 	faultOf: resourceFault,
 	onRefused({kind, name, version}, fault) {
 		log.emit(refused, {
--- a/src/ctl/commands/quarantine.ts
+++ b/src/ctl/commands/quarantine.ts
@@ -4,7 +4,7 @@
 import {Right, type Either} from 'purify-ts/Either';
 import type {ObjectApi} from '../../common/services.js';
 import type {ApiError, StoredObject} from '../../common/types.js';
-import {isRecord, type QuarantineRecord} from '../../gateway/quarantine/quarantine-records.js';
+import {isQuarantineRecord, type QuarantineRecord} from '../../gateway/quarantine/quarantine-records.js';
 import type {Command} from '../command.js';
 import {fromApiError} from '../ctl-error.js';
 import {alignedLines} from '../resource-table.js';
@@ -26,7 +26,7 @@
 	}
 
 	const {items, more} = page.unsafeCoerce();
-	const held = items.map(({name, value}: StoredObject) => ({content: name, record: isRecord(value) ? value as QuarantineRecord : undefined}));
+	const held = items.map(({name, value}: StoredObject) => ({content: name, record: isQuarantineRecord(value) ? value as QuarantineRecord : undefined}));
 	const last = items.at(-1)?.name;
 	if (!more || last === undefined) {
 		return Right(held);
--- a/src/ctl/resource-reader.ts
+++ b/src/ctl/resource-reader.ts
@@ -3,7 +3,7 @@
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {AnyResource, BatchJob, ResourceStatus} from '../../typings/resources.js';
-import {speaksOf, type JobStatus} from '../common/batch-types.js';
+import {isStatusOfJob, type JobStatus} from '../common/batch-types.js';
 import {type ObjectApi} from '../common/services.js';
 import type {ApiError, ObjectKind, StoredObject} from '../common/types.js';
 import {type Revision} from '../common/ids.js';
@@ -28,7 +28,7 @@
 /** The progress that is kept under a resource's name, unless it speaks of an earlier job that had the same one. Both are shown as they are stored, well-formed or not. */
 export const ownProgress = (resource: AnyResource, progress: unknown): unknown => {
 	const {createdTime = ''} = (resource as Partial<BatchJob>).spec ?? {};
-	return speaksOf((progress ?? {}) as JobStatus, {createdTime}) ? progress : undefined;
+	return isStatusOfJob((progress ?? {}) as JobStatus, {createdTime}) ? progress : undefined;
 };
 
 const withStatus = (resource: AnyResource, status: ResourceStatus | undefined, kept: unknown): ReadResource => {
--- a/src/entry/answer-sink.steps.ts
+++ b/src/entry/answer-sink.steps.ts
@@ -6,7 +6,7 @@
 import type {AnswerChunk} from '../common/answer-assembler.js';
 import type {BackendWork, GenerateWork} from '../common/protocol.js';
 import {
-	interruptedAnswers, laterRun, saidIn, type InterruptedAnswer,
+	interruptedAnswers, continuationOf, generatedTexts, type InterruptedAnswer,
 } from '../common/testing/interrupted-answers.js';
 import {GenerationSink} from './answer-sink.js';
 
@@ -28,7 +28,7 @@
 		return sink.isComplete;
 	}
 
-	feed(sink, laterRun(answer, (sink.continued(work) as GenerateWork).resume));
+	feed(sink, continuationOf(answer, (sink.continued(work) as GenerateWork).resume));
 	assert.ok(sink.isComplete);
 	return true;
 };
@@ -41,15 +41,15 @@
 	const choices = sent.flatMap(chunk => chunk.choices ?? []);
 	const roles = choices.filter(({delta}) => delta?.role !== undefined).map(({index}) => index);
 	assert.equal(roles.length, new Set(roles).size, 'a role stands twice');
-	const said = saidIn(choices).join('');
+	const said = generatedTexts(choices).join('');
 	return isWhole ? said : `${said.trim()}, an error`;
 };
 
 const whole = (answer: InterruptedAnswer): string => {
 	const sink = new GenerationSink(bodyOf(answer));
 	assert.ok(runTwice(sink, answer));
-	const {choices} = sink.result('x') as {choices: Parameters<typeof saidIn>[0]};
-	return saidIn(choices).join(' / ');
+	const {choices} = sink.result('x') as {choices: Parameters<typeof generatedTexts>[0]};
+	return generatedTexts(choices).join(' / ');
 };
 
 Then('these are the answers whose first run brings something and ends:', (table: DataTable) => {
--- a/src/entry/chunk-exchange.ts
+++ b/src/entry/chunk-exchange.ts
@@ -1,7 +1,7 @@
 /**
 A coordinator's exchanges with the agents: renews the grants they hold, learns how far they are, and grants them more chunks. Nothing here waits for the object API, so that an outage of it lets no grant lapse.
 */
-import {isLate, pickClaim, weightOf} from '../common/job-order.js';
+import {isLate, selectJob, weightOf} from '../common/job-order.js';
 import type {Fence, JobId, VmName} from '../common/ids.js';
 import type {JobRun} from '../common/job-run.js';
 import type {
@@ -164,7 +164,7 @@
 
 		const ownReport = report?.results === run.results ? report : undefined;
 		if (ownReport) {
-			run.reported(ownReport);
+			run.applyReport(ownReport);
 			return;
 		}
 
@@ -179,10 +179,10 @@
 		const rooms = this.#roomsByTarget();
 		const used = new Set<VmName>();
 		const planned: PlannedGrant[] = [];
-		const open = new Map([...this.#jobs].filter(([, {run}]) => !run.spec.cancelled && run.hasChunk));
+		const open = new Map([...this.#jobs].filter(([, {run}]) => !run.spec.cancelled && run.hasGrantableChunk));
 		while (open.size > 0) {
 			const claims = [...open.values()].map(tracked => claimOf(tracked, shareOf, now));
-			const claim = pickClaim(claims, account => this.#itemsOf(account), now)!;
+			const claim = selectJob(claims, account => this.#itemsOf(account), now)!;
 			const tracked = open.get(claim.jobId)!;
 			const replica = rooms.get(tracked.run.target)?.find(({vm}) => !used.has(vm));
 			if (!replica) {
@@ -193,7 +193,7 @@
 			used.add(replica.vm);
 			this.#noteLate(tracked, isLate(claim, now));
 			planned.push(this.#plan(tracked.run, replica, {fence, share: weightOf(claim, now)}));
-			if (!tracked.run.hasChunk) {
+			if (!tracked.run.hasGrantableChunk) {
 				open.delete(claim.jobId);
 			}
 		}
@@ -204,7 +204,7 @@
 	#plan(run: JobRun, replica: ReplicaView, {fence, share}: {fence: Fence; share: number}): PlannedGrant {
 		const {chunk, isolate} = run.takeChunk()!;
 		this.#round += 1;
-		run.grantedTo({
+		run.recordGrant({
 			chunk, vm: replica.vm, incarnation: replica.load?.incarnation, at: this.#around.clock.now(),
 		});
 		const grant: ChunkGrant = {
@@ -234,7 +234,7 @@
 		});
 		if (refusal !== undefined) {
 			// Without an answer it may have been taken: the next renewal tells.
-			run.putBack(grant.chunk);
+			run.returnChunk(grant.chunk);
 			this.#rooms.set(replica.vm, {room: 0, at: this.#around.clock.now()});
 		}
 	}
--- a/src/entry/config-follower.ts
+++ b/src/entry/config-follower.ts
@@ -1,14 +1,14 @@
 /**
 Keeps the configuration in force at this entry up to date, and passes it on. A few entries of each failure domain watch the object API; the others ask those, and every entry answers the nodes below it.
 */
-import {firstConfig, type AskNode} from '../common/config-bootstrap.js';
+import {loadInitialConfig, type PollNode} from '../common/config-bootstrap.js';
 import {ConfigCounts} from '../common/config-counts.js';
 import {ConfigFeed} from '../common/config-feed.js';
 import {ConfigPeerFollower} from '../common/config-peer-follower.js';
 import type {ConfigAnswer, ConfigPoll, InForceCount} from '../common/config-protocol.js';
 import {readConfig} from '../common/config-reader.js';
 import type {ConfigChanges, ConfigTable} from '../common/config-table.js';
-import {placeOfEntry, type ConfigPlace} from '../common/config-upstream.js';
+import {positionOfEntry, type ConfigPosition} from '../common/config-upstream.js';
 import type {
 	Clock, Disposable, EventLog, ObjectApi, RandomSource,
 } from '../common/services.js';
@@ -31,7 +31,7 @@
 	readonly vm: string;
 	/** The live entry VMs, by the last list that was read. */
 	readonly entries: () => readonly VmEntry[];
-	readonly ask: AskNode;
+	readonly ask: PollNode;
 	/** Where a snapshot is kept, if the VM has a disk. */
 	readonly dataFolder?: string;
 };
@@ -45,7 +45,7 @@
 	readonly #feed: ConfigFeed;
 	readonly #snapshot: ConfigSnapshot | undefined;
 	readonly #stop: () => void;
-	#placed: {entries: readonly VmEntry[]; place: ConfigPlace} | undefined;
+	#placed: {entries: readonly VmEntry[]; place: ConfigPosition} | undefined;
 	#isReady = false;
 	#disposed = false;
 
@@ -115,10 +115,10 @@
 		this.#snapshot?.dispose();
 	}
 
-	get #place(): ConfigPlace {
+	get #place(): ConfigPosition {
 		const entries = this.#parts.entries();
 		if (this.#placed?.entries !== entries) {
-			this.#placed = {entries, place: placeOfEntry(entries.filter(({state}) => state === 'live'), this.#parts.vm)};
+			this.#placed = {entries, place: positionOfEntry(entries.filter(({state}) => state === 'live'), this.#parts.vm)};
 		}
 
 		return this.#placed.place;
@@ -127,7 +127,7 @@
 	async #begin() {
 		const {vm, table, log} = this.#parts;
 		const snapshot = await this.#snapshot?.read();
-		const first = await firstConfig({
+		const first = await loadInitialConfig({
 			...this.#parts,
 			node: vm,
 			peers: () => this.#place.upstreams,
@@ -154,7 +154,7 @@
 
 	#onLost() {
 		if (!this.isConnected) {
-			this.#feed.answerNow();
+			this.#feed.answerPendingPolls();
 		}
 	}
 
--- a/src/entry/entry-lease.ts
+++ b/src/entry/entry-lease.ts
@@ -3,7 +3,7 @@
 */
 import type {ConfigTable} from '../common/config-table.js';
 import type {Fence} from '../common/ids.js';
-import {LeaseKeeper} from '../common/lease-keeper.js';
+import {LeaseClient} from '../common/lease-client.js';
 import type {HolderName} from '../common/lease.js';
 import {rankMembers} from '../common/rendezvous.js';
 import type {Clock, ObjectApi} from '../common/services.js';
@@ -36,13 +36,13 @@
 export class EntryLease {
 	readonly #parts: EntryLeaseParts;
 	readonly #options: EntryLeaseOptions;
-	readonly #keeper: LeaseKeeper;
+	readonly #keeper: LeaseClient;
 	#tendAt = 0;
 
 	constructor(parts: EntryLeaseParts, options: EntryLeaseOptions) {
 		this.#parts = parts;
 		this.#options = options;
-		this.#keeper = new LeaseKeeper(parts.api, parts.clock, {name: options.name, self: parts.self, ttlMs: options.ttlMs});
+		this.#keeper = new LeaseClient(parts.api, parts.clock, {name: options.name, self: parts.self, ttlMs: options.ttlMs});
 	}
 
 	/** True while this entry may act under the lease. Ask before each write: it may have lapsed on the way. */
@@ -69,7 +69,7 @@
 		}
 
 		this.#tendAt = clock.now() + tendMs;
-		await this.#keeper.tend(rank);
+		await this.#keeper.acquireOrRenew(rank);
 		return true;
 	}
 
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -5,7 +5,7 @@
 import type {Either} from 'purify-ts/Either';
 import type {ClientAccount} from '../../typings/resources.js';
 import type {ConfigPoll} from '../common/config-protocol.js';
-import {checkedTable} from '../common/checked-table.js';
+import {validatedConfigTable} from '../common/validated-config-table.js';
 import type {ConfigTable} from '../common/config-table.js';
 import type {DecisionTrace} from '../common/decision-trace.js';
 import {branded} from '../common/ids.js';
@@ -84,7 +84,7 @@
 		const {clock} = services;
 		this.#cfg = cfg;
 		this.#services = services;
-		this.#config = checkedTable(services.log, configEvents.objectRefused);
+		this.#config = validatedConfigTable(services.log, configEvents.objectRefused);
 		this.#api = new HttpObjectApi(this.#http, {address: cfg.platform.objectApi, timeoutMs: cfg.platform.timeoutMs});
 		this.#replicas = new ReplicaTable(clock, cfg.online.silenceMs);
 		this.#poller = this.#makePoller();
@@ -308,7 +308,7 @@
 				sendError(res, invalidRequest(`the method ${req.method} is not allowed here`, {status: 405, code: 'wrong_method'}));
 			},
 			broken: err => {
-				this.#services.log.emit(entryEvents.handlerBroken, {reason: String(err)});
+				this.#services.log.emit(entryEvents.handlerFailed, {reason: String(err)});
 			},
 		};
 	}
--- a/src/entry/in-force-reporter.ts
+++ b/src/entry/in-force-reporter.ts
@@ -149,7 +149,7 @@
 	}
 
 	#tally(rows: readonly InForceCount[], {version}: PendingVersion): InForceTally {
-		const {nodesInForce, nodesHeard} = countInForce(rows, version);
+		const {nodesInForce, nodesCounted: nodesHeard} = countInForce(rows, version);
 		// The VM list lags: nodes that were counted exist, listed or not.
 		return {nodesInForce, nodesKnown: Math.max(nodesHeard, this.#parts.nodesKnown())};
 	}
--- a/src/entry/job-coordinator.ts
+++ b/src/entry/job-coordinator.ts
@@ -8,7 +8,7 @@
 import {ConcurrencyLimit} from '../common/concurrency-limit.js';
 import type {Fence, JobId, Revision} from '../common/ids.js';
 import {JobRun, type MissingChunk} from '../common/job-run.js';
-import type {LeaseKeeper} from '../common/lease-keeper.js';
+import type {LeaseClient} from '../common/lease-client.js';
 import type {ObjectApi} from '../common/services.js';
 import {batchEvents} from './batch-log-events.js';
 import {ChunkExchange, type ExchangeSurroundings} from './chunk-exchange.js';
@@ -32,7 +32,7 @@
 export class JobCoordinator {
 	readonly #around: CoordinatorSurroundings;
 	readonly #shard: string;
-	readonly #lease: LeaseKeeper;
+	readonly #lease: LeaseClient;
 	readonly #reader: JobReader;
 	readonly #calls = new ConcurrencyLimit(maxCalls);
 	readonly #jobs = new Map<JobId, TrackedJob>();
@@ -43,7 +43,7 @@
 	#isReady = false;
 
 	/** @param shard - The first character of the hash in the ids of its jobs. */
-	constructor(shard: string, lease: LeaseKeeper, around: CoordinatorSurroundings, onWork: WorkListener) {
+	constructor(shard: string, lease: LeaseClient, around: CoordinatorSurroundings, onWork: WorkListener) {
 		this.#shard = shard;
 		this.#onWork = onWork;
 		this.#lease = lease;
@@ -167,7 +167,7 @@
 			jobId, spec: job.spec, file, committed, counted: known?.counted, startedAt: known?.startedAt ?? Math.floor(clock.wall() / 1000),
 		});
 		inherited.filter(({report}) => report.results === run.results).forEach(({vm, report}) => {
-			run.grantedTo({
+			run.recordGrant({
 				chunk: report.chunk, vm, incarnation: replicas.get(vm)?.load?.incarnation, at: clock.now(), report,
 			});
 		});
@@ -235,8 +235,8 @@
 
 	async #finish(tracked: TrackedJob, state: JobState) {
 		const {run} = tracked;
-		await Promise.all(run.uncounted.map(async chunk => this.#count(run, chunk)));
-		if (run.uncounted.length > 0 || !await this.#report(tracked, state) || this.#jobs.get(run.jobId) !== tracked) {
+		await Promise.all(run.uncountedChunks.map(async chunk => this.#count(run, chunk)));
+		if (run.uncountedChunks.length > 0 || !await this.#report(tracked, state) || this.#jobs.get(run.jobId) !== tracked) {
 			return;
 		}
 
--- a/src/entry/job-reader.ts
+++ b/src/entry/job-reader.ts
@@ -3,7 +3,7 @@
 */
 import type {BatchJob} from '../../typings/resources.js';
 import {
-	chunkOfResultName, endedStates, resultPrefix, speaksOf, type FileRecord, type JobStatus, type ResultPrefix,
+	chunkOfResultName, terminalStates, resultPrefix, isStatusOfJob, type FileRecord, type JobStatus, type ResultPrefix,
 } from '../common/batch-types.js';
 import {branded, type JobId, type Revision} from '../common/ids.js';
 import {resourceFault} from '../common/resource-check.js';
@@ -46,10 +46,10 @@
 			return undefined;
 		}
 
-		const ended = new Map(statuses.items.filter(({value}) => endedStates.has(value.state)).map(({name, value}) => [name, value]));
+		const ended = new Map(statuses.items.filter(({value}) => terminalStates.has(value.state)).map(({name, value}) => [name, value]));
 		const open = jobs.items.filter(stored => this.#isWellFormed(stored)).filter(({name, value}) => {
 			const status = ended.get(name);
-			return !status || !speaksOf(status, value.spec);
+			return !status || !isStatusOfJob(status, value.spec);
 		});
 		return {
 			version: jobs.version,
@@ -69,7 +69,7 @@
 		}
 
 		const status = read.toMaybe().extract();
-		if (status && endedStates.has(status.value.state) && speaksOf(status.value, job.spec)) {
+		if (status && terminalStates.has(status.value.state) && isStatusOfJob(status.value, job.spec)) {
 			return 'ended';
 		}
 
--- a/src/entry/job-retention.ts
+++ b/src/entry/job-retention.ts
@@ -4,7 +4,7 @@
 The order matters. A sweep that is broken off goes on from the status, which is removed last. A job that a client submits again after its old resource is gone is a new one: the old status names the time its job was created, and is passed over. One that is submitted while the removal goes on has the same id: only what was there before the job was looked at is removed, and only as it was then.
 */
 import type {BatchJob} from '../../typings/resources.js';
-import {endedStates, speaksOf, type JobStatus} from '../common/batch-types.js';
+import {terminalStates, isStatusOfJob, type JobStatus} from '../common/batch-types.js';
 import {branded, type JobId} from '../common/ids.js';
 import {resourceFault} from '../common/resource-check.js';
 import type {Clock, EventLog, ObjectApi} from '../common/services.js';
@@ -64,7 +64,7 @@
 	}
 
 	#isDue({state, endedAt}: JobStatus): boolean {
-		return endedStates.has(state) && endedAt !== undefined && this.#parts.clock.wall() - (endedAt * 1000) >= this.#parts.retentionMs;
+		return terminalStates.has(state) && endedAt !== undefined && this.#parts.clock.wall() - (endedAt * 1000) >= this.#parts.retentionMs;
 	}
 
 	async #removeJob(status: StoredObject<JobStatus>, mayGoOn: () => boolean): Promise<boolean> {
@@ -89,7 +89,7 @@
 		const read = await this.#parts.api.get<BatchJob>('BatchJob', jobId);
 		return read.caseOf({
 			Left: err => err.kind === 'notFound' ? [] : undefined,
-			Right: job => resourceFault('BatchJob', jobId, job.value) !== undefined || speaksOf(status, job.value.spec) ? [job] : undefined,
+			Right: job => resourceFault('BatchJob', jobId, job.value) !== undefined || isStatusOfJob(status, job.value.spec) ? [job] : undefined,
 		});
 	}
 
--- a/src/entry/job-shards.ts
+++ b/src/entry/job-shards.ts
@@ -4,7 +4,7 @@
 import type {BatchJob} from '../../typings/resources.js';
 import type {DecisionTrace} from '../common/decision-trace.js';
 import type {JobId, Revision} from '../common/ids.js';
-import {LeaseKeeper} from '../common/lease-keeper.js';
+import {LeaseClient} from '../common/lease-client.js';
 import type {HolderName} from '../common/lease.js';
 import {rankMembers} from '../common/rendezvous.js';
 import type {Disposable} from '../common/services.js';
@@ -34,7 +34,7 @@
 
 type Shard = {
 	readonly name: string;
-	readonly lease: LeaseKeeper;
+	readonly lease: LeaseClient;
 	readonly coordinator: JobCoordinator;
 	readonly pause: WakeablePause;
 	wasHeld: boolean;
@@ -62,7 +62,7 @@
 	constructor(parts: ShardParts) {
 		this.#parts = parts;
 		this.#shards = shardNames.map(name => {
-			const lease = new LeaseKeeper(parts.api, parts.clock, {
+			const lease = new LeaseClient(parts.api, parts.clock, {
 				name: `jobs-${name}`, self: parts.self, ttlMs: parts.leaseMs, trace: parts.trace,
 			});
 			const pause = new WakeablePause(parts.clock);
@@ -143,7 +143,7 @@
 		const rank = ranked.includes(vm) ? ranked.indexOf(vm) : ranked.length;
 		const isClose = rank < closeRanks || shard.lease.isOwner;
 		shard.tendAt = clock.now() + (isClose ? leaseMs / tendsPerLease : leaseMs * farTendLeases * rank);
-		await shard.lease.tend(rank);
+		await shard.lease.acquireOrRenew(rank);
 	}
 
 	async #coordinateShard(shard: Shard) {
--- a/src/entry/job-status-writer.ts
+++ b/src/entry/job-status-writer.ts
@@ -1,7 +1,7 @@
 /**
 Writes the status of one job, by conditional updates, sparingly: at first every two seconds, later less often the longer the job has run, so that thousands of jobs at once stay within the object API's rate.
 */
-import {endedStates, type JobStatus} from '../common/batch-types.js';
+import {terminalStates, type JobStatus} from '../common/batch-types.js';
 import type {Revision} from '../common/ids.js';
 import type {Clock, ObjectApi} from '../common/services.js';
 import type {ApiError, StoredObject} from '../common/types.js';
@@ -73,7 +73,7 @@
 
 		// A status that is final, or of a later holder of the lease, stands: a paused coordinator must not bring an old one back.
 		const isOfThisJob = current.value.jobCreatedTime === undefined || current.value.jobCreatedTime === status.jobCreatedTime;
-		if (isOfThisJob && endedStates.has(current.value.state)) {
+		if (isOfThisJob && terminalStates.has(current.value.state)) {
 			return true;
 		}
 
--- a/src/entry/job-store.ts
+++ b/src/entry/job-store.ts
@@ -5,7 +5,7 @@
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {BatchJob, BatchJobSpec} from '../../typings/resources.js';
 import {
-	resultName, speaksOf, type ChunkResult, type FileRecord, type ItemResult, type JobStatus, type ResultPart, type ResultPrefix,
+	resultName, isStatusOfJob, type ChunkResult, type FileRecord, type ItemResult, type JobStatus, type ResultPart, type ResultPrefix,
 } from '../common/batch-types.js';
 import {ConcurrencyLimit} from '../common/concurrency-limit.js';
 import {branded, type FileId, type JobId} from '../common/ids.js';
@@ -230,7 +230,7 @@
 			return Right(undefined);
 		}
 
-		return status.map(({value}) => speaksOf(value, spec) ? value : undefined).mapLeft(platformError);
+		return status.map(({value}) => isStatusOfJob(value, spec) ? value : undefined).mapLeft(platformError);
 	}
 
 	async #read<T>(kind: ObjectKind, name: string): Promise<Either<ApiError, T>> {
--- a/src/entry/log-events.ts
+++ b/src/entry/log-events.ts
@@ -21,5 +21,5 @@
 	claimFound: {number: 218, level: 'info', text: 'idempotency key is claimed by an earlier request, which is followed'},
 	claimsRemoved: {number: 219, level: 'debug', text: 'claims of idempotency keys removed, their retention is over'},
 	vmListFailed: {number: 230, level: 'warn', text: 'VM list could not be read'},
-	handlerBroken: {number: 290, level: 'error', text: 'a request handler broke an invariant'},
+	handlerFailed: {number: 290, level: 'error', text: 'a request handler broke an invariant'},
 } as const satisfies Record<string, EventDefinition>;
--- a/src/entry/malformed-objects.steps.ts
+++ b/src/entry/malformed-objects.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import type {IncomingMessage} from 'node:http';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {checkedTable} from '../common/checked-table.js';
+import {validatedConfigTable} from '../common/validated-config-table.js';
 import type {ConfigTable} from '../common/config-table.js';
 import {branded, type Revision} from '../common/ids.js';
 import {FakeObjectApi} from '../common/testing/fake-object-api.js';
@@ -33,7 +33,7 @@
 };
 
 const tableOf = (world: MalformedWorld) => {
-	world.table = checkedTable(logOf(world), configEvents.objectRefused);
+	world.table = validatedConfigTable(logOf(world), configEvents.objectRefused);
 	return world.table;
 };
 
--- a/src/entry/online-frontend.steps.ts
+++ b/src/entry/online-frontend.steps.ts
@@ -71,10 +71,10 @@
 		accounts: {begin: () => Right(() => undefined)},
 		replicas: {
 			routable: () => [{vm: branded('engine-1'), address, load}],
-			silenceAllowedMs: () => 0,
+			effectiveReportTimeoutMs: () => 0,
 			began: () => undefined,
 			ended: () => undefined,
-			heard: () => undefined,
+			applyReport: () => undefined,
 			prefixes: {cachedTokens: () => 0, confirmed: () => undefined},
 		},
 		client: {
--- a/src/entry/online-request.ts
+++ b/src/entry/online-request.ts
@@ -217,7 +217,7 @@
 			signal: this.#caller.signal,
 			pause: this.#caller.pause,
 			onLoad: (load: LoadReport) => {
-				this.#around.replicas.heard(replica.vm, load);
+				this.#around.replicas.applyReport(replica.vm, load);
 			},
 			onChunk: (index, data) => attempt.attempt === this.#attempts && this.#take(index, data),
 		};
@@ -231,7 +231,7 @@
 	}
 
 	#ended({end}: Extract<AttemptOutcome, {kind: 'end'}>, {replica}: CurrentAttempt): Step {
-		this.#around.replicas.heard(replica.vm, end.load);
+		this.#around.replicas.applyReport(replica.vm, end.load);
 		this.#around.replicas.prefixes.confirmed(replica.vm, end.cachedBlocks, end.cacheSeq ?? 0);
 		// The end counts the chunks: with one missing, the answer would pass for whole without it.
 		return end.chunks === this.#nextChunk ? this.#whole() : this.#repeatOrUnknown('chunks of the answer are missing', 'run');
@@ -243,7 +243,7 @@
 	}
 
 	#refused({refusal}: Extract<AttemptOutcome, {kind: 'refused'}>, {replica, attempt}: CurrentAttempt): Step {
-		this.#around.replicas.heard(replica.vm, refusal.load);
+		this.#around.replicas.applyReport(replica.vm, refusal.load);
 		this.#around.log.emit(entryEvents.attemptRefused, {
 			id: attempt.id, attempt: attempt.attempt, vm: replica.vm, reason: refusal.reason,
 		});
--- a/src/entry/placement-controller.steps.ts
+++ b/src/entry/placement-controller.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import type {ResourceStatus} from '../../typings/resources.js';
-import {placementLease, type PlacedModel} from '../common/placement.js';
+import {placementLeaseName, type PlacedModel} from '../common/placement.js';
 import type {LeaseValue} from '../common/lease.js';
 import type {StoredObject} from '../common/types.js';
 import type {TestWorld} from '../common/testing/test-world.js';
@@ -44,7 +44,7 @@
 };
 
 const lease = async (world: PlacementWorld): Promise<LeaseValue | undefined> => {
-	const read = await world.api.get<LeaseValue>('Lease', placementLease);
+	const read = await world.api.get<LeaseValue>('Lease', placementLeaseName);
 	return read.map((stored: StoredObject<LeaseValue>): LeaseValue | undefined => stored.value).orDefault(undefined);
 };
 
--- a/src/entry/placement-controller.ts
+++ b/src/entry/placement-controller.ts
@@ -6,10 +6,10 @@
 } from '../../typings/resources.js';
 import type {Fence} from '../common/ids.js';
 import {
-	epochName, isCurrent, placementLease, type Assignment, type PlacementEpoch,
+	placementEpochName, isCurrentAssignment, placementLeaseName, type Assignment, type PlacementEpoch,
 } from '../common/placement.js';
 import {
-	placeModels, type ModelProgress, type Placement, type PlacementChoice, type PlacementServer, type WantedModel,
+	placeModels, type ModelProgress, type Placement, type PlacementChoice, type PlacementServer, type DesiredModel,
 } from '../common/placement-policy.js';
 import type {ReplicaView} from '../common/replica-table.js';
 import type {Disposable, EventLog} from '../common/services.js';
@@ -53,7 +53,7 @@
 
 	constructor(parts: PlacementParts) {
 		this.#parts = parts;
-		this.#lease = new EntryLease(parts, {name: placementLease, ttlMs: parts.leaseMs, tendMs: parts.leaseMs / tendsPerLease});
+		this.#lease = new EntryLease(parts, {name: placementLeaseName, ttlMs: parts.leaseMs, tendMs: parts.leaseMs / tendsPerLease});
 		this.#writer = new StatusWriter(parts.api, parts.clock);
 	}
 
@@ -106,13 +106,13 @@
 		}
 
 		const epoch: PlacementEpoch = {fence, knownUpTo: table.revision};
-		const read = await api.get<PlacementEpoch>('Assignment', epochName);
+		const read = await api.get<PlacementEpoch>('Assignment', placementEpochName);
 		const stored = read.isRight() ? read.unsafeCoerce() : undefined;
 		if (read.isLeft() && read.extract().kind !== 'notFound') {
 			return false;
 		}
 
-		const written = stored ? await api.update('Assignment', epochName, epoch, stored.version) : await api.create('Assignment', epochName, epoch);
+		const written = stored ? await api.update('Assignment', placementEpochName, epoch, stored.version) : await api.create('Assignment', placementEpochName, epoch);
 		if (written.isRight()) {
 			this.#epoch = epoch;
 			this.#beganAt = clock.now();
@@ -135,7 +135,7 @@
 		await this.#reportAll(placement.progress);
 	}
 
-	#wanted(): WantedModel[] {
+	#wanted(): DesiredModel[] {
 		const {table} = this.#parts;
 		return table.list<ServedModel>('ServedModel').flatMap(({name, value}) => {
 			const version = table.get<ModelVersion>('ModelVersion', value.spec.version);
@@ -178,7 +178,7 @@
 			return models.length > 0;
 		}
 
-		return stable([known.models, known.unload]) !== stable([models, unload]) || !isCurrent(known, table.versionOf('Assignment', vm), this.#epoch!);
+		return stable([known.models, known.unload]) !== stable([models, unload]) || !isCurrentAssignment(known, table.versionOf('Assignment', vm), this.#epoch!);
 	}
 
 	async #write({vm, models, unload}: PlacementChoice, progress: readonly ModelProgress[], digest: string) {
--- a/src/entry/replica-poller.steps.ts
+++ b/src/entry/replica-poller.steps.ts
@@ -41,7 +41,7 @@
 	world.table = new ReplicaTable(world.clock, silenceMs);
 	world.table.applyVmList(namesIn(names).map(name => vmEntry(name)));
 	namesIn(names).forEach(name => {
-		world.table.heard(branded(name), report(name));
+		world.table.applyReport(branded(name), report(name));
 	});
 	world.poller = world.register(new ReplicaPoller({
 		clock: world.clock,
@@ -78,7 +78,7 @@
 
 Given('{string} have said that they serve nothing', function (this: PollerWorld, names: string) {
 	namesIn(names).forEach(name => {
-		this.table.heard(branded(name), {...report(name), serves: []});
+		this.table.applyReport(branded(name), {...report(name), serves: []});
 	});
 });
 
@@ -107,7 +107,7 @@
 When('only {string} is heard for {int} ms', async function (this: PollerWorld, name: string, ms: number) {
 	for (let left = ms; left > 0; left -= loadPollMs) {
 		await pass(this, loadPollMs);
-		this.table.heard(branded(name), report(name));
+		this.table.applyReport(branded(name), report(name));
 	}
 });
 
--- a/src/entry/replica-poller.ts
+++ b/src/entry/replica-poller.ts
@@ -5,7 +5,7 @@
 */
 import type {VmName} from '../common/ids.js';
 import type {LoadReport} from '../common/protocol.js';
-import {unheardFactor, type ReplicaTable, type ReplicaView} from '../common/replica-table.js';
+import {allUnresponsiveFactor, type ReplicaTable, type ReplicaView} from '../common/replica-table.js';
 import type {
 	Clock, Disposable, EventLog, VmList,
 } from '../common/services.js';
@@ -132,7 +132,7 @@
 			await clock.sleep(loadPollMs);
 			const lateMs = clock.now() - sleptAt - loadPollMs;
 			if (lateMs > loadPollMs) {
-				replicas.notePause(lateMs);
+				replicas.compensateForPause(lateMs);
 			}
 
 			this.#askThoseDue();
@@ -175,12 +175,12 @@
 		const openQuestions = this.#openQuestions.get(vm) ?? 0;
 		this.#openQuestions.set(vm, openQuestions + 1);
 		const report = await rpc.call<LoadReport>({
-			address, timeoutMs: unheardFactor * silenceMs, fresh: openQuestions > 0,
+			address, timeoutMs: allUnresponsiveFactor * silenceMs, fresh: openQuestions > 0,
 		}, 'agent.load', {cacheSince: replicas.prefixes.seqOf(vm)});
 		this.#openQuestions.set(vm, (this.#openQuestions.get(vm) ?? 1) - 1);
 		report
 			.ifRight(load => {
-				replicas.heard(vm, load);
+				replicas.applyReport(vm, load);
 			})
 			.ifLeft(({kind, reason}) => {
 				replicas.failed(vm, `report ${kind}: ${reason}`);
--- a/src/entry/replica-subset.ts
+++ b/src/entry/replica-subset.ts
@@ -5,19 +5,19 @@
 import type {ConfigTable} from '../common/config-table.js';
 import type {VmName} from '../common/ids.js';
 import type {ReplicaTable} from '../common/replica-table.js';
-import {chooseSubset, isReplaced, type SubsetQuestion} from '../common/subset-policy.js';
+import {chooseSubset, isReplaced, type SubsetCriteria} from '../common/subset-policy.js';
 
 /** Chooses and remembers the subset. */
 export class ReplicaSubset {
 	readonly #replicas: ReplicaTable;
 	readonly #config: ConfigTable;
-	readonly #place: Pick<SubsetQuestion, 'self' | 'failureDomain' | 'perTarget'>;
+	readonly #place: Pick<SubsetCriteria, 'self' | 'failureDomain' | 'perTarget'>;
 	readonly #needsAll: () => boolean;
 	#signature = '';
 	#current: ReadonlySet<VmName> = new Set();
 
 	/** @param needsAll - True while this entry has to know every replica, for instance because it places models. */
-	constructor(replicas: ReplicaTable, config: ConfigTable, place: Pick<SubsetQuestion, 'self' | 'failureDomain' | 'perTarget'>, needsAll: () => boolean) {
+	constructor(replicas: ReplicaTable, config: ConfigTable, place: Pick<SubsetCriteria, 'self' | 'failureDomain' | 'perTarget'>, needsAll: () => boolean) {
 		this.#needsAll = needsAll;
 		this.#replicas = replicas;
 		this.#config = config;
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -5,9 +5,9 @@
 import type {BlockHash, RequestId, VmName} from '../common/ids.js';
 import {RecordedDraws} from '../common/recorded-draws.js';
 import type {ReplicaTable, ReplicaView} from '../common/replica-table.js';
-import {chooseReplica, type RouteChoice, type RouteQuestion} from '../common/route-policy.js';
+import {chooseReplica, type RouteChoice, type RouteCriteria} from '../common/route-policy.js';
 import {
-	recordedChoice, recordedQuestion, routeDigest, type RouteView,
+	recordedChoice, recordedCriteria, routeDigest, type RouteView,
 } from '../common/route-record.js';
 import type {Clock, EventLog, RandomSource} from '../common/services.js';
 import {entryEvents} from './log-events.js';
@@ -39,7 +39,7 @@
 	readonly request: RouteRequest;
 	/** The clock's `now` of the decision. */
 	readonly now: number;
-	readonly question: RouteQuestion;
+	readonly question: RouteCriteria;
 	readonly draws: readonly number[];
 	readonly choice: RouteChoice | undefined;
 };
@@ -65,7 +65,7 @@
 		return choice?.chosen;
 	}
 
-	#questionOf({tried, costTokens, promptBlocks = []}: RouteRequest, candidates: readonly ReplicaView[]): RouteQuestion {
+	#questionOf({tried, costTokens, promptBlocks = []}: RouteRequest, candidates: readonly ReplicaView[]): RouteCriteria {
 		const {prefixes} = this.#parts.replicas;
 		// Looked up once: the policy and the record both ask.
 		const cached = new Map(candidates.map(({vm}) => [vm, prefixes.cachedTokens(vm, promptBlocks)]));
@@ -77,7 +77,7 @@
 	#record(decision: Decision) {
 		const {request: {id, attempt, target, costTokens}, now, question, draws, choice} = decision;
 		if (!choice) {
-			this.#parts.log.emit(entryEvents.noReplica, {id, target, ...this.#parts.replicas.sightOf(target, now)});
+			this.#parts.log.emit(entryEvents.noReplica, {id, target, ...this.#parts.replicas.availabilityOf(target, now)});
 			this.#trace(decision, '');
 			return;
 		}
@@ -97,10 +97,10 @@
 
 		const {id, attempt, target} = request;
 		const view: RouteView = {
-			target, now, silentMs: replicas.silenceAllowedMs(now), replicas: replicas.all.map(replica => ({...replica})),
+			target, now, silentMs: replicas.effectiveReportTimeoutMs(now), replicas: replicas.all.map(replica => ({...replica})),
 		};
 		trace.write({
-			kind: 'route', id, attempt, digest, view, question: recordedQuestion(question), draws, choice: choice && recordedChoice(choice),
+			kind: 'route', id, attempt, digest, view, question: recordedCriteria(question), draws, choice: choice && recordedChoice(choice),
 		});
 	}
 }
--- a/src/entry/testing/batch-fleet.ts
+++ b/src/entry/testing/batch-fleet.ts
@@ -231,7 +231,7 @@
 			name: branded(vm), role: 'backend', address: vm, failureDomain: branded('hall'), state: 'live',
 		})));
 		live.filter(({isPaused}) => !isPaused).forEach(agent => {
-			this.replicas.heard(branded<VmName>(agent.vm), agent.load());
+			this.replicas.applyReport(branded<VmName>(agent.vm), agent.load());
 		});
 	}
 }
--- a/src/entry/testing/config-network.ts
+++ b/src/entry/testing/config-network.ts
@@ -2,7 +2,7 @@
 A network in memory for followers of the configuration, whose links can be cut or go silent one by one.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
-import type {AskNode} from '../../common/config-bootstrap.js';
+import type {PollNode} from '../../common/config-bootstrap.js';
 import {
 	pollTimeoutMs, pollWaitMs, type ConfigAnswer, type ConfigPoll,
 } from '../../common/config-protocol.js';
@@ -49,7 +49,7 @@
 	}
 
 	/** How the node at an address asks others. */
-	askerOf(from: string): AskNode {
+	askerOf(from: string): PollNode {
 		return async (to, poll) => this.#pass(from, to, poll.waitMs + pollTimeoutMs - pollWaitMs, async () => {
 			const answerer = this.#answerers.get(to);
 			return answerer ? {answer: await answerer(poll)} : undefined;
--- a/src/entry/tracked-job.ts
+++ b/src/entry/tracked-job.ts
@@ -2,7 +2,7 @@
 One job at its coordinator: its run, and what the coordinator remembers of its objects.
 */
 import type {JobRun} from '../common/job-run.js';
-import type {JobClaim} from '../common/job-order.js';
+import type {JobCandidate} from '../common/job-order.js';
 import type {Revision} from '../common/ids.js';
 import type {JobStatusWriter} from './job-status-writer.js';
 
@@ -23,7 +23,7 @@
 
 @param now - Milliseconds since 1970.
 */
-export const claimOf = ({run}: TrackedJob, shareOf: (account: string) => number, now: number): JobClaim => ({
+export const claimOf = ({run}: TrackedJob, shareOf: (account: string) => number, now: number): JobCandidate => ({
 	jobId: run.jobId,
 	account: run.spec.account,
 	share: shareOf(run.spec.account),
--- a/src/gateway/accounts/caller-gate.ts
+++ b/src/gateway/accounts/caller-gate.ts
@@ -47,7 +47,7 @@
 	readonly log: EventLog;
 	readonly metrics: Metrics;
 	/** When the configuration was last confirmed to be current, in milliseconds on the monotonic clock. */
-	readonly configHeardAt: () => number;
+	readonly configConfirmedAt: () => number;
 	/** Keys are rejected when the configuration has not been confirmed for this long, in milliseconds, since they may have been revoked. `undefined`: they stay valid. */
 	readonly staleAfterMs: number | undefined;
 };
@@ -98,7 +98,7 @@
 	}
 
 	#isStale(): boolean {
-		const {clock, configHeardAt, staleAfterMs} = this.#parts;
+		const {clock, configConfirmedAt: configHeardAt, staleAfterMs} = this.#parts;
 		return staleAfterMs !== undefined && clock.now() - configHeardAt() > staleAfterMs;
 	}
 
--- a/src/gateway/accounts/rate-limits.steps.ts
+++ b/src/gateway/accounts/rate-limits.steps.ts
@@ -8,7 +8,7 @@
 import type {TestWorld} from '../../common/testing/test-world.js';
 import {SeededRandom} from '../../io/seeded-random.js';
 import {
-	modelTolerance, modelWindowMs, playRateLimit, type RateLimitLoad, type RateLimitOutcome,
+	modelTolerance, modelWindowMs, simulateRateLimit, type RateLimitLoad, type RateLimitOutcome,
 } from '../testing/rate-limit-model.js';
 import type {ClientAccountName, RateLimit} from '../types.js';
 import {RateLimits, type LimitDecision} from './rate-limits.js';
@@ -38,7 +38,7 @@
 const admitted = (decisions: readonly LimitDecision[]): number => decisions.filter(decision => 'credit' in decision).length;
 
 Given('{int} processes that tell each other of the calls they let in', function (this: LimitsWorld, processes: number) {
-	this.load = {processes, limit, way: 'told'};
+	this.load = {processes, limit, strategy: 'told'};
 });
 
 Given('{int} of them are cut off from the others for {int} s', function (this: LimitsWorld, processes: number, seconds: number) {
@@ -50,13 +50,13 @@
 });
 
 When('an account makes {int} calls a second, {float} of them at the first process', function (this: LimitsWorld, perSecond: number, firstShare: number) {
-	this.outcome = playRateLimit({
+	this.outcome = simulateRateLimit({
 		...this.load as RateLimitLoad, perSecond, firstShare, random: new SeededRandom(1),
 	});
 });
 
 Then('no window holds more than the limit allows', function (this: LimitsWorld) {
-	assert.ok(this.outcome.mostInWindow <= mostAllowed, `${this.outcome.mostInWindow} of ${mostAllowed}`);
+	assert.ok(this.outcome.maxInWindow <= mostAllowed, `${this.outcome.maxInWindow} of ${mostAllowed}`);
 });
 
 Then('at least {float} of the calls that the limit allows are served', function (this: LimitsWorld, share: number) {
@@ -68,7 +68,7 @@
 	this.limit = {perSecond, burst};
 	const clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined} as unknown as Clock;
 	this.limits = new RateLimits({
-		clock, log: {emit: () => undefined}, tolerance: 0, registered: () => 1, livePeers: () => new Set(),
+		clock, log: {emit: () => undefined}, tolerance: 0, registeredCount: () => 1, livePeers: () => new Set(),
 	});
 	this.now = idleMs;
 });
@@ -91,7 +91,7 @@
 When('{int} calls are let in and refused for another reason', function (this: LimitsWorld, calls: number) {
 	admit(this, calls).forEach(decision => {
 		assert.ok('credit' in decision);
-		decision.credit.giveBack();
+		decision.credit.refund();
 	});
 });
 
--- a/src/gateway/accounts/rate-limits.ts
+++ b/src/gateway/accounts/rate-limits.ts
@@ -32,7 +32,7 @@
 	/** Calls of an account beyond its limit that operators tolerate in a window. */
 	readonly tolerance: number;
 	/** How many processes are registered, this one included. */
-	readonly registered: () => number;
+	readonly registeredCount: () => number;
 	/** Live peers. */
 	readonly livePeers: () => ReadonlySet<MemberName>;
 };
@@ -40,7 +40,7 @@
 /** What an admitted call holds. */
 export type RateCredit = {
 	/** The call was refused after all, and has run nowhere. */
-	giveBack(): void;
+	refund(): void;
 };
 
 /** A call is admitted, or may come back later. */
@@ -48,7 +48,7 @@
 
 type Refusals = {count: number; reportedAt: number};
 
-const unlimited: LimitDecision = {credit: {giveBack: () => undefined}};
+const unlimited: LimitDecision = {credit: {refund: () => undefined}};
 
 const isLimited = (limit: RateLimit | undefined): limit is RateLimit => limit !== undefined && limit.perSecond > 0;
 
@@ -82,15 +82,15 @@
 
 		return {
 			credit: {
-				giveBack: () => {
-					bucket.giveBack(this.#parts.clock.now());
+				refund: () => {
+					bucket.refund(this.#parts.clock.now());
 				},
 			},
 		};
 	}
 
 	/** Usage to announce to the peers now. */
-	news(): readonly AccountUsage[] {
+	announcement(): readonly AccountUsage[] {
 		const now = this.#parts.clock.now();
 		this.#forgetIdle(now);
 		return [...this.#buckets]
@@ -99,13 +99,13 @@
 	}
 
 	/** Applies the usage that a peer announced. Accounts without calls here are tracked too: their next call may come here. */
-	take({member, startedAt, accountUsage = []}: Pick<PeerState, 'member' | 'startedAt' | 'accountUsage'>, limitOf: (account: ClientAccountName) => RateLimit | undefined): void {
+	receiveUsage({member, startedAt, accountUsage = []}: Pick<PeerState, 'member' | 'startedAt' | 'accountUsage'>, limitOf: (account: ClientAccountName) => RateLimit | undefined): void {
 		const now = this.#parts.clock.now();
 		const isNewPeer = startedAt > this.#startedAtWall - countedBeforeMs;
 		accountUsage.forEach(({account, admitted, asked}) => {
 			const limit = limitOf(account);
 			if (isLimited(limit)) {
-				this.#bucketOf(account, limit, now).takePeer(member, {admitted, asked}, {isNewPeer, now});
+				this.#bucketOf(account, limit, now).receiveUsage(member, {admitted, asked}, {isNewPeer, now});
 			}
 		});
 	}
@@ -123,7 +123,7 @@
 
 	#membership(now: number): Membership {
 		const live = this.#parts.livePeers();
-		const registered = Math.max(this.#parts.registered(), live.size + 1);
+		const registered = Math.max(this.#parts.registeredCount(), live.size + 1);
 		const isYoung = now - this.#startedAt < unknownForMs;
 		return {
 			isLivePeer: peer => live.has(peer),
--- a/src/gateway/accounts/shared-bucket.ts
+++ b/src/gateway/accounts/shared-bucket.ts
@@ -114,7 +114,7 @@
 	}
 
 	/** An admitted call was refused after all, and has run nowhere. */
-	giveBack(now: number): void {
+	refund(now: number): void {
 		this.#admitted -= 1;
 		this.#ownChangedAt = now;
 		this.#level = Math.min(this.#limit.burst, this.#level + 1);
@@ -125,7 +125,7 @@
 
 	@param isNewPeer - Whether the peer has started within the time that counts, so that all it has admitted does.
 	*/
-	takePeer(peer: MemberName, {admitted, asked}: Omit<AccountUsage, 'account'>, {isNewPeer, now}: {isNewPeer: boolean; now: number}): void {
+	receiveUsage(peer: MemberName, {admitted, asked}: Omit<AccountUsage, 'account'>, {isNewPeer, now}: {isNewPeer: boolean; now: number}): void {
 		const known = this.#peers.get(peer) ?? {
 			admitted: isNewPeer ? 0 : admitted, asked: isNewPeer ? 0 : asked, announcedAt: now, rate: new RateMeter(),
 		};
--- a/src/gateway/attempt.steps.ts
+++ b/src/gateway/attempt.steps.ts
@@ -8,7 +8,7 @@
 import {until} from '../common/testing/until.js';
 import {SystemClock} from '../io/system-clock.js';
 import {pauseProcess} from '../io/testing/pause-process.js';
-import {Attempt, type AttemptEnd, type Carrier} from './attempt.js';
+import {Attempt, type AttemptEnd, type AttemptConnection} from './attempt.js';
 import type {CallDialect, ReplicaId} from './types.js';
 
 type AttemptWorld = TestWorld & {
@@ -26,7 +26,7 @@
 };
 
 /** A connection that does what the test says. */
-class PlayedCarrier implements Carrier {
+class PlayedCarrier implements AttemptConnection {
 	isReset = false;
 	isNew = true;
 	readonly done: string[] = [];
@@ -58,7 +58,7 @@
 		this.handler.onResponseError?.(this.controller, new Error('destroyed'));
 	}
 
-	renewSiblings(): void {
+	closeIdleSiblings(): void {
 		this.done.push('siblings renewed');
 	}
 
@@ -84,9 +84,9 @@
 	world.questions = 0;
 	const attempt = new Attempt({
 		connection: world.carrier,
-		contact: {
-			connectMs,
-			suspectMs,
+		reachability: {
+			connectTimeoutMs: connectMs,
+			probeAfterMs: suspectMs,
 			noteConnected: () => undefined,
 			noteBytes: () => undefined,
 			async isReachable() {
@@ -98,8 +98,8 @@
 		dialect,
 		message: {method: 'POST', target: '/', headers: []},
 		fields: {requestId: id, replica: 'r1' as ReplicaId},
-		patience: {silenceMs, canGoElsewhere: true},
-		isCurrent: () => isCurrent,
+		timeouts: {silenceMs, canGoElsewhere: true},
+		isEligible: () => isCurrent,
 		listener: {
 			onHead: () => undefined,
 			onBytes: () => undefined,
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -5,8 +5,8 @@
 import type {Dispatcher} from 'undici';
 import type {Clock, Disposable} from '../common/services.js';
 import {isBeforeSending} from '../io/http-client.js';
-import type {AttemptContact} from './contacts/replica-contacts.js';
-import type {ReplicaConnection} from './replica-connections.js';
+import type {AttemptReachability} from './contacts/replica-reachability.js';
+import type {ReplicaConnection} from './replica-connection-pool.js';
 import type {AnswerFields, AttemptFields, CallDialect} from './types.js';
 
 /** What is sent, the same for each attempt of a call. */
@@ -55,7 +55,7 @@
 };
 
 /** How long an attempt waits, in milliseconds. */
-export type AttemptPatience = {
+export type AttemptTimeouts = {
 	/** From when the request was sent on, without a byte. */
 	readonly silenceMs: number;
 	/** Whether the call can go on elsewhere, so that nothing is gained by waiting for a replica that cannot be reached. Any other call waits: its replica's answer may still come. */
@@ -63,19 +63,19 @@
 };
 
 /** What an attempt uses of a connection. */
-export type Carrier = Pick<ReplicaConnection, 'isNew' | 'dispatch' | 'wasReset' | 'release' | 'discard' | 'renewSiblings'>;
+export type AttemptConnection = Pick<ReplicaConnection, 'isNew' | 'dispatch' | 'wasReset' | 'release' | 'discard' | 'closeIdleSiblings'>;
 
 /** What an attempt is made of. */
 export type AttemptParts = {
-	readonly connection: Carrier;
-	readonly contact: AttemptContact;
+	readonly connection: AttemptConnection;
+	readonly reachability: AttemptReachability;
 	readonly clock: Clock;
 	readonly dialect: CallDialect;
 	readonly message: CallMessage;
 	readonly fields: AttemptFields;
-	readonly patience: AttemptPatience;
+	readonly timeouts: AttemptTimeouts;
 	/** Whether the replica may still be sent work; asked once more when its connection has been made. */
-	readonly isCurrent: () => boolean;
+	readonly isEligible: () => boolean;
 	readonly listener: AttemptListener;
 };
 
@@ -111,7 +111,7 @@
 
 	/** Sends. The end may be told before this returns. */
 	start(): void {
-		const connectMs = Math.round(this.#parts.contact.connectMs);
+		const connectMs = Math.round(this.#parts.reachability.connectTimeoutMs);
 		this.#timer = setTimeout(() => {
 			// After a pause of this process, the connection may have been made and not been looked at yet: timers come before sockets.
 			setImmediate(() => {
@@ -143,7 +143,7 @@
 
 	#send() {
 		const {
-			connection, dialect, message, fields, contact, clock,
+			connection, dialect, message, fields, reachability: contact, clock,
 		} = this.#parts;
 		const startedAt = clock.now();
 		const {isNew} = connection;
@@ -155,7 +155,7 @@
 			body: message.body && message.body.length > 0 ? message.body : undefined,
 		}, {
 			onRequestStart: controller => {
-				if (isNew && !this.#parts.isCurrent()) {
+				if (isNew && !this.#parts.isEligible()) {
 					this.#giveUp({kind: 'outdated'});
 					controller.abort(new Error('the replica may have left'));
 					return;
@@ -197,7 +197,7 @@
 			return;
 		}
 
-		const {patience: {silenceMs, canGoElsewhere}, contact: {suspectMs}} = this.#parts;
+		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs: suspectMs}} = this.#parts;
 		const stepMs = canGoElsewhere ? Math.min(suspectMs, silenceMs) : silenceMs;
 		this.#silenceTimer = setTimeout(() => {
 			this.#silentMs += stepMs;
@@ -209,7 +209,7 @@
 	}
 
 	#onSilence() {
-		const {silenceMs} = this.#parts.patience;
+		const {silenceMs} = this.#parts.timeouts;
 		if (this.#isOver || this.#silentMs === 0) {
 			return;
 		}
@@ -229,7 +229,7 @@
 	}
 
 	async #suspect() {
-		const isReachable = await this.#parts.contact.isReachable();
+		const isReachable = await this.#parts.reachability.isReachable();
 		if (!isReachable && this.#silentMs > 0) {
 			this.#giveUp({kind: 'cutOff', reason: `no byte within ${Math.round(this.#silentMs)} ms, and no connection can be made`});
 		}
@@ -281,7 +281,7 @@
 	}
 
 	#noteBytes() {
-		this.#parts.contact.noteBytes();
+		this.#parts.reachability.noteBytes();
 		this.#watchSilence();
 	}
 
@@ -331,7 +331,7 @@
 		const {connection} = this.#parts;
 		connection.discard();
 		if (end.kind === 'silent' || end.kind === 'cutOff') {
-			connection.renewSiblings();
+			connection.closeIdleSiblings();
 		}
 
 		this.#end(this.#refusal ?? end);
--- a/src/gateway/batch/batch-job.ts
+++ b/src/gateway/batch/batch-job.ts
@@ -4,11 +4,11 @@
 import type {Revision} from '../../common/ids.js';
 import type {BatchItemId, BatchJobId, ClientAccountName} from '../types.js';
 import {
-	tokensOf, type ItemOutline, type JobRecord, type PageRecord, type ResultOutline,
+	tokensOf, type ItemSummary, type JobRecord, type PageRecord, type ResultSummary,
 } from './batch-records.js';
 
 /** Where the text of a result stands. */
-export type ListedResult = ResultOutline & {
+export type CommittedResult = ResultSummary & {
 	/** The name of the page's content. */
 	readonly content: string;
 };
@@ -23,9 +23,9 @@
 	/** Whether its record is still to come to stand in the object API: nothing that refers to it may be written before. */
 	readonly isHeld: boolean;
 	readonly tokens: number;
-	readonly #items: ReadonlyMap<BatchItemId, ItemOutline>;
+	readonly #items: ReadonlyMap<BatchItemId, ItemSummary>;
 	readonly #listed = new Set<BatchItemId>();
-	readonly #results: ListedResult[] = [];
+	readonly #results: CommittedResult[] = [];
 	readonly #handovers: string[] = [];
 	readonly #handoverRecords: string[] = [];
 	#pages = 0;
@@ -46,12 +46,12 @@
 	}
 
 	/** Its results so far, by position. */
-	get results(): readonly ListedResult[] {
+	get results(): readonly CommittedResult[] {
 		return this.#results;
 	}
 
 	/** How many pages there are, which is the number of the next. */
-	get pages(): number {
+	get pageCount(): number {
 		return this.#pages;
 	}
 
@@ -80,12 +80,12 @@
 	}
 
 	/** Names of the contents that processes which shut down have left. */
-	get handovers(): readonly string[] {
+	get handoverContents(): readonly string[] {
 		return this.#handovers;
 	}
 
 	/** Whether the account may read, end and resubmit the job. A job that was accepted without an account is open to all. */
-	isOpenTo(account: ClientAccountName | undefined): boolean {
+	isAccessibleTo(account: ClientAccountName | undefined): boolean {
 		return this.record.account === undefined || this.record.account === account;
 	}
 
@@ -93,7 +93,7 @@
 		return this.#items.has(id);
 	}
 
-	isListed(id: BatchItemId): boolean {
+	isCommitted(id: BatchItemId): boolean {
 		return this.#listed.has(id);
 	}
 
@@ -124,7 +124,7 @@
 	}
 
 	/** An item has one position: a second result for it, which no writer makes, would be left out. */
-	#add(result: ListedResult) {
+	#add(result: CommittedResult) {
 		const item = this.#items.get(result.id);
 		if (item && !this.#listed.has(result.id)) {
 			this.#listed.add(result.id);
--- a/src/gateway/batch/batch-policy.steps.ts
+++ b/src/gateway/batch/batch-policy.steps.ts
@@ -7,11 +7,11 @@
 import {SeededRandom} from '../../io/seeded-random.js';
 import {BatchWaveModel, type BatchWave} from '../testing/batch-wave-model.js';
 import {
-	allowance, byUrgency, reservedPlaces, type RunLength, type WaitingCounts, type WaitingItem,
+	slotAllowance, byUrgency, reservedSlots, type RunEstimate, type WaitingCounts, type WaitingItem,
 } from './batch-policy.js';
 
 type PolicyWorld = TestWorld & {
-	length: RunLength;
+	length: RunEstimate;
 	items: Array<WaitingItem & {readonly name: string}>;
 	taken: number;
 	wave: Omit<BatchWave, 'random'>;
@@ -25,7 +25,7 @@
 
 Given('runs that take {int} ms', function (this: PolicyWorld, ms: number) {
 	this.length = {
-		msPerEvent: ms / eventsPerItem, eventsPerItem, stretch: 1, stretchDeviation: 0,
+		msPerEvent: ms / eventsPerItem, eventsPerItem, slowdown: 1, slowdownDeviation: 0,
 	};
 	this.items = [];
 });
@@ -43,11 +43,11 @@
 });
 
 Then('an item with {int} ms to spare leaves {int} places free', (slack: number, places: number) => {
-	assert.equal(reservedPlaces(slack), places);
+	assert.equal(reservedSlots(slack), places);
 });
 
 /** Each process has some items that can be on time. */
-const takenBy = (processes: number, free: number, random: SeededRandom): number => Array.from({length: processes}, () => allowance(free, {own: {timely: 5, late: 1}, all: {timely: 5 * processes, late: processes}}, random.next()))
+const takenBy = (processes: number, free: number, random: SeededRandom): number => Array.from({length: processes}, () => slotAllowance(free, {own: {timely: 5, late: 1}, all: {timely: 5 * processes, late: processes}}, random.next()))
 	.reduce((sum, taken) => sum + taken, 0);
 
 When('{int} processes look at {int} free places', function (this: PolicyWorld, processes: number, free: number) {
@@ -74,7 +74,7 @@
 	.reduce((sum, share) => sum + share, 0) * 100 / seeds.length;
 
 Given('{int} places under waves of calls, and {float} items a second', function (this: PolicyWorld, places: number, perSecond: number) {
-	this.wave = {places, perSecond, isStretchLearnt: true};
+	this.wave = {places, perSecond, isSlowdownEstimated: true};
 });
 
 Then('at least {int} % of the items are on time', function (this: PolicyWorld, percent: number) {
@@ -83,7 +83,7 @@
 });
 
 Then('at least {int} % more than if interruptions were not counted in', function (this: PolicyWorld, percent: number) {
-	const without = percentOnTime({...this.wave, isStretchLearnt: false});
+	const without = percentOnTime({...this.wave, isSlowdownEstimated: false});
 	assert.ok(this.share - without >= percent, `${this.share} against ${without}`);
 });
 
@@ -92,7 +92,7 @@
 });
 
 Then('at least {int} % more than if all took equal shares', function (this: PolicyWorld, percent: number) {
-	const equal = percentOnTime({...this.wave, isCompared: false});
+	const equal = percentOnTime({...this.wave, isProportional: false});
 	assert.ok(this.share - equal >= percent, `${this.share} against ${equal}`);
 });
 
@@ -107,7 +107,7 @@
 When('it looks at {int} free places', function (this: PolicyWorld, free: number) {
 	const {own, others} = this;
 	const all = {timely: own.timely + others.timely, late: own.late + others.late};
-	this.taken = allowance(free, {own, all}, 0);
+	this.taken = slotAllowance(free, {own, all}, 0);
 });
 
 Then('it takes {int} places', function (this: PolicyWorld, places: number) {
--- a/src/gateway/batch/batch-policy.ts
+++ b/src/gateway/batch/batch-policy.ts
@@ -13,18 +13,18 @@
 };
 
 /** How long runs take, learnt from those that ended; in milliseconds and events. */
-export type RunLength = {
+export type RunEstimate = {
 	readonly msPerEvent: number;
 	readonly eventsPerItem: number;
 	/** How many times as long as it ran an item took from its first place to its end: it is cut off by waves of calls, and waits for its next place. */
-	readonly stretch: number;
+	readonly slowdown: number;
 	/** How far single items are from that, on the mean. */
-	readonly stretchDeviation: number;
+	readonly slowdownDeviation: number;
 };
 
 /** Until runs have ended: an engine step of some ms brings several tokens, and an event some steps. The stretch is that of the model of waves at the load that its places just suffice for; without one, a process that has just started begins items that the next wave makes late. */
-export const assumedRunLength: RunLength = {
-	msPerEvent: 30, eventsPerItem: 150, stretch: 1.5, stretchDeviation: 0.25,
+export const initialRunEstimate: RunEstimate = {
+	msPerEvent: 30, eventsPerItem: 150, slowdown: 1.5, slowdownDeviation: 0.25,
 };
 
 /** A new observation counts for this share: the last ten runs or so decide. */
@@ -34,7 +34,7 @@
 const sureDeviations = 2;
 
 /** @returns What is known after one more run, of `events` events in `elapsedMs`, which brought an item to its end with `total` events. */
-export const learn = (known: RunLength, {events, elapsedMs, total}: {events: number; elapsedMs: number; total: number}): RunLength => events === 0
+export const updateEstimate = (known: RunEstimate, {events, elapsedMs, total}: {events: number; elapsedMs: number; total: number}): RunEstimate => events === 0
 	? known
 	: {
 		...known,
@@ -43,32 +43,32 @@
 	};
 
 /** @returns What is known after an item was done `elapsedMs` after its first place, of which it ran `ranMs`. */
-export const learnStretch = (known: RunLength, {elapsedMs, ranMs}: {elapsedMs: number; ranMs: number}): RunLength => {
+export const updateSlowdown = (known: RunEstimate, {elapsedMs, ranMs}: {elapsedMs: number; ranMs: number}): RunEstimate => {
 	const stretch = Math.max(1, elapsedMs / Math.max(1, ranMs));
 	return {
 		...known,
-		stretch: known.stretch + (learningShare * (stretch - known.stretch)),
-		stretchDeviation: known.stretchDeviation + (learningShare * (Math.abs(stretch - known.stretch) - known.stretchDeviation)),
+		slowdown: known.slowdown + (learningShare * (stretch - known.slowdown)),
+		slowdownDeviation: known.slowdownDeviation + (learningShare * (Math.abs(stretch - known.slowdown) - known.slowdownDeviation)),
 	};
 };
 
 /** Milliseconds that an item still needs at a replica. */
-export const remainingMs = ({events}: WaitingItem, {msPerEvent, eventsPerItem}: RunLength): number => Math.max(1, eventsPerItem - events) * msPerEvent;
+export const remainingMs = ({events}: WaitingItem, {msPerEvent, eventsPerItem}: RunEstimate): number => Math.max(1, eventsPerItem - events) * msPerEvent;
 
 /**
 Milliseconds that an item can still wait and be on time; negative when it will most likely be late.
 
 With more work than places, the items that have just enough time for an undisturbed run are the first in the order of due times, and each wave of calls that cuts them off makes them late all the same, by a second or two. So an item counts as on time only with the interruptions that items have just now, and twice their deviation (batch-policy.feature).
 */
-export const slackMs = (item: WaitingItem, length: RunLength, wallNow: number): number => {
-	const {stretch, stretchDeviation} = length;
+export const slackMs = (item: WaitingItem, length: RunEstimate, wallNow: number): number => {
+	const {slowdown: stretch, slowdownDeviation: stretchDeviation} = length;
 	return item.dueAt - wallNow - (remainingMs(item, length) * (stretch + (sureDeviations * stretchDeviation)));
 };
 
 /**
 The order of places: items that can be on time, the one that is due first before the others; then the late ones, the one with least work left before the others.
 */
-export const byUrgency = (length: RunLength, wallNow: number) => (a: WaitingItem, b: WaitingItem): number => {
+export const byUrgency = (length: RunEstimate, wallNow: number) => (a: WaitingItem, b: WaitingItem): number => {
 	const isLateA = slackMs(a, length, wallNow) < 0;
 	const isLateB = slackMs(b, length, wallNow) < 0;
 	if (isLateA !== isLateB) {
@@ -87,7 +87,7 @@
 ];
 
 /** @param slack - See {@link slackMs}. */
-export const reservedPlaces = (slack: number): number => reserveSteps.find(step => slack >= step.slackMs)?.places ?? 0;
+export const reservedSlots = (slack: number): number => reserveSteps.find(step => slack >= step.slackMs)?.places ?? 0;
 
 /** Items that wait for a place. */
 export type WaitingCounts = {
@@ -97,7 +97,7 @@
 };
 
 /** @returns How many of the items can still be on time, and how many cannot. */
-export const countWaiting = (items: readonly WaitingItem[], length: RunLength, wallNow: number): WaitingCounts => {
+export const countWaiting = (items: readonly WaitingItem[], length: RunEstimate, wallNow: number): WaitingCounts => {
 	const timely = items.filter(item => slackMs(item, length, wallNow) >= 0).length;
 	return {timely, late: items.length - timely};
 };
@@ -117,7 +117,7 @@
 @param all - The items of all processes, its own included.
 @param chance - A number in [0, 1): a share below one place is taken as often as it is large.
 */
-export const allowance = (free: number, {own, all}: {readonly own: WaitingCounts; readonly all: WaitingCounts}, chance: number): number => {
+export const slotAllowance = (free: number, {own, all}: {readonly own: WaitingCounts; readonly all: WaitingCounts}, chance: number): number => {
 	const keptForLate = all.late > 0 ? shareOfLate * free : 0;
 	const forTimely = Math.min(free - keptForLate, all.timely);
 	const share = partOf(forTimely, own.timely, all.timely) + partOf(free - forTimely, own.late, all.late);
--- a/src/gateway/batch/batch-records.ts
+++ b/src/gateway/batch/batch-records.ts
@@ -4,9 +4,9 @@
 Records are short, since every process follows all of them. Prompts and texts stand in contents, each written before the record that names it and read only by those who need it: a process with a narrow link would otherwise spend seconds after its start on texts that nobody asks it for.
 */
 import {
-	isAmount, isCount, isFlag, isObject, isString, isText, listOf, objectOf, oneOf, optional, type FieldTest,
-} from '../../common/field-tests.js';
-import {isItemProgress} from '../../common/message-tests.js';
+	isNonNegativeNumber, isNonNegativeInteger, isBoolean, isObject, isString, isNonEmptyString, listOf, objectOf, oneOf, optional, type FieldValidator,
+} from '../../common/field-validators.js';
+import {isItemProgress} from '../../common/message-validators.js';
 import type {BatchItemId, BatchJobId, ClientAccountName} from '../types.js';
 import type {FailedRun} from './failed-runs.js';
 
@@ -23,7 +23,7 @@
 };
 
 /** What every process knows of an item. */
-export type ItemOutline = Pick<BatchItem, 'id' | 'tokens'>;
+export type ItemSummary = Pick<BatchItem, 'id' | 'tokens'>;
 
 /** A job as it was accepted. */
 export type JobRecord = {
@@ -43,7 +43,7 @@
 	readonly maxWaitingTokens: number;
 	/** Whether the process that took it in saw so much room that nothing written at the same time could fill it. */
 	readonly isRoomy: boolean;
-	readonly items: readonly ItemOutline[];
+	readonly items: readonly ItemSummary[];
 	/** The name of its {@link JobContent}. */
 	readonly content: string;
 };
@@ -63,7 +63,7 @@
 };
 
 /** What every process knows of a result. */
-export type ResultOutline = Pick<ItemResult, 'id' | 'state'>;
+export type ResultSummary = Pick<ItemResult, 'id' | 'state'>;
 
 /** Results in the order of their positions. Page n + 1 begins where page n ends. */
 export type PageRecord = {
@@ -71,7 +71,7 @@
 	readonly job: BatchJobId;
 	/** Counted from 0, without gaps. */
 	readonly number: number;
-	readonly results: readonly ResultOutline[];
+	readonly results: readonly ResultSummary[];
 	/** The name of its {@link PageContent}. */
 	readonly content: string;
 };
@@ -119,24 +119,24 @@
 
 const state = oneOf('completed', 'errored');
 
-const recordTests: Readonly<Record<string, FieldTest>> = {
+const recordTests: Readonly<Record<string, FieldValidator>> = {
 	job: objectOf({
-		job: isText, account: optional(isText), route: isText, host: isText, target: isText, submittedAt: isAmount, maxWaitingTokens: isAmount, isRoomy: isFlag, items: listOf(objectOf({id: isText, tokens: isAmount})), content: isText,
+		job: isNonEmptyString, account: optional(isNonEmptyString), route: isNonEmptyString, host: isNonEmptyString, target: isNonEmptyString, submittedAt: isNonNegativeNumber, maxWaitingTokens: isNonNegativeNumber, isRoomy: isBoolean, items: listOf(objectOf({id: isNonEmptyString, tokens: isNonNegativeNumber})), content: isNonEmptyString,
 	}),
 	page: objectOf({
-		job: isText, number: isCount, results: listOf(objectOf({id: isText, state})), content: isText,
+		job: isNonEmptyString, number: isNonNegativeInteger, results: listOf(objectOf({id: isNonEmptyString, state})), content: isNonEmptyString,
 	}),
-	end: objectOf({job: isText}),
-	handover: objectOf({job: isText, content: isText}),
+	end: objectOf({job: isNonEmptyString}),
+	handover: objectOf({job: isNonEmptyString, content: isNonEmptyString}),
 };
 
-const contentTests: Readonly<Record<BatchContent['type'], FieldTest>> = {
+const contentTests: Readonly<Record<BatchContent['type'], FieldValidator>> = {
 	items: objectOf({
 		items: listOf(objectOf({
-			id: isText, path: isText, headers: Array.isArray, body: isString, tokens: isAmount,
+			id: isNonEmptyString, path: isNonEmptyString, headers: Array.isArray, body: isString, tokens: isNonNegativeNumber,
 		})),
 	}),
-	results: objectOf({results: listOf(objectOf({id: isText, state, output: isString}))}),
+	results: objectOf({results: listOf(objectOf({id: isNonEmptyString, state, output: isString}))}),
 	progress: objectOf({
 		items: listOf(isItemProgress),
 	}),
@@ -161,4 +161,4 @@
 } as const;
 
 /** Tokens of all items of a job. */
-export const tokensOf = (items: readonly ItemOutline[]): number => items.reduce((sum, {tokens}) => sum + tokens, 0);
+export const tokensOf = (items: readonly ItemSummary[]): number => items.reduce((sum, {tokens}) => sum + tokens, 0);
--- a/src/gateway/batch/batch-retention.ts
+++ b/src/gateway/batch/batch-retention.ts
@@ -10,7 +10,7 @@
 import {gatewayEvents} from '../log-events.js';
 import type {PeerTable} from '../peers/peer-table.js';
 import type {MemberName} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 import {recordNames} from './batch-records.js';
 
@@ -18,12 +18,12 @@
 export type RetentionParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly peers: PeerTable;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	/** Milliseconds after its submission for which a finished job can be read. */
-	readonly keptMs: number;
+	readonly resultRetentionMs: number;
 };
 
 /** How often jobs are looked through, in milliseconds; one that stays some seconds longer costs nothing. */
@@ -36,8 +36,8 @@
 
 /** All that belongs to a job, its own record last. */
 const removalsOf = (job: BatchJob): Removal[] => [
-	...[...job.pageContents, ...job.handovers, job.record.content].map(name => ({kind: 'BatchContent' as const, name})),
-	...Array.from({length: job.pages}, (_, number) => ({kind: 'BatchRecord' as const, name: recordNames.page(job.id, number)})),
+	...[...job.pageContents, ...job.handoverContents, job.record.content].map(name => ({kind: 'BatchContent' as const, name})),
+	...Array.from({length: job.pageCount}, (_, number) => ({kind: 'BatchRecord' as const, name: recordNames.page(job.id, number)})),
 	...job.handoverRecords.map(name => ({kind: 'BatchRecord' as const, name})),
 	...(job.hasEnded ? [{kind: 'BatchRecord' as const, name: recordNames.end(job.id)}] : []),
 	{kind: 'BatchRecord' as const, name: recordNames.job(job.id)},
@@ -55,18 +55,18 @@
 
 	start(): void {
 		this.#timer = setInterval(() => {
-			void this.removeOld();
+			void this.removeExpired();
 		}, lookMs);
 	}
 
 	/** Removes the jobs whose time is over and that fall to this process. */
-	async removeOld(): Promise<void> {
+	async removeExpired(): Promise<void> {
 		if (this.#isBusy) {
 			return;
 		}
 
 		this.#isBusy = true;
-		const old = [...this.#parts.book.all].filter(job => this.#isOver(job) && this.#isOwn(job));
+		const old = [...this.#parts.jobIndex.all].filter(job => this.#isOver(job) && this.#isOwn(job));
 		for (const job of old) {
 			await this.#remove(job);
 		}
@@ -79,7 +79,7 @@
 	}
 
 	#isOver(job: BatchJob): boolean {
-		const {clock, keptMs} = this.#parts;
+		const {clock, resultRetentionMs: keptMs} = this.#parts;
 		return !job.isOpen && clock.wall() > job.record.submittedAt + keptMs + clockSlackMs;
 	}
 
--- a/src/gateway/batch/batch-runner.ts
+++ b/src/gateway/batch/batch-runner.ts
@@ -7,51 +7,51 @@
 } from '../../common/services.js';
 import type {RpcClient} from '../../io/rpc-client.js';
 import type {ConfigBoard} from '../config-board.js';
-import type {ReplicaContacts} from '../contacts/replica-contacts.js';
+import type {ReplicaReachability} from '../contacts/replica-reachability.js';
 import type {LoadBoard} from '../load-board.js';
 import type {FeedFreshness} from '../feed-freshness.js';
 import {gatewayEvents} from '../log-events.js';
-import {maySendTo} from '../may-send-to.js';
+import {isEligible} from '../replica-eligibility.js';
 import type {ObjectFeed} from '../object-feed.js';
-import {itemsToCut} from '../replica-choice.js';
+import {itemsToPreempt} from '../replica-choice.js';
 import type {ReplicaDirectory} from '../replica-directory.js';
-import {gatherMs} from '../peers/peer-announcer.js';
+import {announcementDelayMs} from '../peers/peer-announcer.js';
 import type {SharedWaiting} from '../peers/peer-state.js';
 import type {PeerTable} from '../peers/peer-table.js';
 import type {Quarantine} from '../quarantine/quarantine.js';
-import {WatchedContent} from '../quarantine/watched-content.js';
+import {TrackedContent} from '../quarantine/tracked-content.js';
 import {registrationAge} from '../registration-age.js';
-import type {ReplicaConnection} from '../replica-connections.js';
-import type {ReplicaLinks} from '../replica-links.js';
+import type {ReplicaConnection} from '../replica-connection-pool.js';
+import type {ReplicaConnectionPools} from '../replica-connection-pools.js';
 import type {Replica} from '../replica.js';
 import type {
 	BatchJobId, CallDialect, CallerIdentity, GatewayRoute, MemberName,
 } from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 import {
-	assumedRunLength, byUrgency, countWaiting, learn, learnStretch, type WaitingCounts, type WaitingItem,
+	initialRunEstimate, byUrgency, countWaiting, updateEstimate, updateSlowdown, type WaitingCounts, type WaitingItem,
 } from './batch-policy.js';
 import type {BatchItem} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 import type {FailedRuns} from './failed-runs.js';
 import {ItemRun, itemMethod, type ItemRunEnd} from './item-run.js';
 import type {JobClaims} from './job-claims.js';
-import type {JobHandover} from './job-leaver.js';
+import type {JobHandover} from './job-handover.js';
 import type {JobRun, ItemState} from './job-run.js';
 import {JobRuns} from './job-runs.js';
-import {JobTerms} from './job-terms.js';
-import {PlaceFinder, type PlaceSeeker} from './place-finder.js';
+import {JobRoutePolicy} from './job-route-policy.js';
+import {SlotFinder, type SlotRequest} from './slot-finder.js';
 
 /** How the headers of an item are put together. */
-export type ItemHeaders = (host: string, itemId: string, headers: BatchItem['headers']) => string[];
+export type ItemHeaderBuilder = (host: string, itemId: string, headers: BatchItem['headers']) => string[];
 
 /** What the runner reads and writes. */
 export type BatchRunnerParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
 	readonly peers: PeerTable;
 	readonly rpc: RpcClient;
@@ -62,11 +62,11 @@
 	/** Of the directory. */
 	readonly replicaFreshness: FeedFreshness;
 	readonly loads: LoadBoard;
-	readonly links: ReplicaLinks;
-	readonly contacts: ReplicaContacts;
+	readonly connectionPools: ReplicaConnectionPools;
+	readonly reachability: ReplicaReachability;
 	readonly quarantine: Quarantine;
 	readonly dialect: CallDialect;
-	readonly itemHeaders: ItemHeaders;
+	readonly itemHeaders: ItemHeaderBuilder;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly log: EventLog;
@@ -75,7 +75,7 @@
 };
 
 /** An item that waits for a place. */
-type WaitingPlace = PlaceSeeker & {
+type WaitingPlace = SlotRequest & {
 	readonly run: JobRun;
 	readonly job: BatchJob;
 	readonly state: ItemState;
@@ -111,11 +111,11 @@
 export class BatchRunner implements Disposable {
 	readonly #parts: BatchRunnerParts;
 	readonly #runs: JobRuns;
-	readonly #finder: PlaceFinder;
-	readonly #terms: JobTerms;
+	readonly #finder: SlotFinder;
+	readonly #terms: JobRoutePolicy;
 	readonly #onReplicaFault: Readonly<Partial<Record<ItemRunEnd, (replica: Replica) => void>>> = {
 		unreachable: replica => {
-			this.#parts.contacts.noteUnreachable(replica);
+			this.#parts.reachability.noteUnreachable(replica);
 		},
 		misdirected: replica => {
 			replica.noteFailure(this.#parts.clock.now());
@@ -126,15 +126,15 @@
 	};
 
 	readonly #onWatchedEnd: Readonly<Partial<Record<ItemRunEnd, (state: ItemState, replica: Replica) => void>>> = {
-		finished({watched}) {
-			watched?.noteFinished();
+		finished({trackedContent: watched}) {
+			watched?.noteCompleted();
 		},
-		lost({watched}, replica) {
-			void watched?.noteLost(replica);
+		lost({trackedContent: watched}, replica) {
+			void watched?.noteConnectionLost(replica);
 		},
 	};
 
-	#runLength = assumedRunLength;
+	#runLength = initialRunEstimate;
 	#waiting: readonly SharedWaiting[] = [];
 	#nextFillAt = 0;
 	#pending: NodeJS.Timeout | undefined;
@@ -143,11 +143,11 @@
 
 	constructor(parts: BatchRunnerParts) {
 		this.#parts = parts;
-		const {loads, book, board, clock} = parts;
-		this.#finder = new PlaceFinder(parts);
-		this.#terms = new JobTerms(board, clock);
+		const {loads, jobIndex: book, board, clock} = parts;
+		this.#finder = new SlotFinder(parts);
+		this.#terms = new JobRoutePolicy(board, clock);
 		this.#runs = new JobRuns(parts, this.#terms);
-		loads.onOwnChange(replica => {
+		loads.onLocalChange(replica => {
 			this.#onLoad(replica);
 		});
 		loads.onPeerChange(replica => {
@@ -207,7 +207,7 @@
 	}
 
 	#onLoad(replica: Replica) {
-		const count = itemsToCut(replica, this.#parts.self);
+		const count = itemsToPreempt(replica, this.#parts.self);
 		if (count > 0) {
 			this.#cut(replica, count);
 		}
@@ -260,7 +260,7 @@
 			return;
 		}
 
-		this.#nextFillAt = clock.now() + (this.#finder.sharers > 1 ? gatherMs(this.#parts.peers.live.length) + travelMs : 0);
+		this.#nextFillAt = clock.now() + (this.#finder.processCount > 1 ? announcementDelayMs(this.#parts.peers.live.length) + travelMs : 0);
 	}
 
 	#fillRoute(items: readonly WaitingPlace[], wallNow: number) {
@@ -284,7 +284,7 @@
 		}
 
 		const route = this.#terms.routeOf(job);
-		if (route ? this.#terms.isOverdue(job, route) : this.#terms.hasLostRoute(job)) {
+		if (route ? this.#terms.isExpired(job, route) : this.#terms.hasLostRoute(job)) {
 			run.giveUpAll();
 			return [];
 		}
@@ -296,21 +296,21 @@
 		run.giveUpFailed(route);
 		const dueAt = this.#terms.dueAt(job);
 		return run.waiting().filter(state => this.#watch(job, state).heldMs === 0).map(state => ({
-			run, job, route, state, dueAt, events: state.events.length, failedAt: new Set(this.#parts.failedRuns.of(state.item.id).map(({replica}) => replica)), needsNewConnection: state.lastEnd === 'broken',
+			run, job, route, state, dueAt, events: state.events.length, failedReplicas: new Set(this.#parts.failedRuns.of(state.item.id).map(({replica}) => replica)), needsNewConnection: state.lastEnd === 'broken',
 		}));
 	}
 
-	#watch(job: BatchJob, state: ItemState): WatchedContent {
+	#watch(job: BatchJob, state: ItemState): TrackedContent {
 		const {path, body} = state.item;
-		state.watched ??= new WatchedContent(this.#parts, 'batch', {
+		state.trackedContent ??= new TrackedContent(this.#parts, 'batch', {
 			host: job.record.host, method: itemMethod, target: path, body: Buffer.from(body, 'base64'),
 		});
-		return state.watched;
+		return state.trackedContent;
 	}
 
 	/** @returns Whether a place was found. */
 	#start(item: WaitingPlace): boolean {
-		const place = this.#finder.placeFor(item, this.#runLength);
+		const place = this.#finder.findSlot(item, this.#runLength);
 		if (place) {
 			this.#send({...item, replica: place.replica}, place.connection);
 		}
@@ -321,24 +321,24 @@
 	#send(place: ItemPlace, connection: ReplicaConnection) {
 		const {job, state, replica} = place;
 		const {
-			loads, contacts, dialect, itemHeaders, log, clock,
+			loads, reachability: contacts, dialect, itemHeaders, log, clock,
 		} = this.#parts;
 		const {item, events} = state;
 		log.emit(gatewayEvents.itemStarted, {
 			job: job.id, item: item.id, replica: replica.record.id, resumeAfter: events.length, dueInMs: Math.round(this.#terms.dueAt(job) - clock.wall()), ...registrationAge(this.#parts, replica),
 		});
-		const giveBack = loads.take(replica, 'batch');
+		const giveBack = loads.acquireSlot(replica, 'batch');
 		const startedAt = clock.now();
-		state.begunAt ??= startedAt;
+		state.firstStartedAt ??= startedAt;
 		const known = events.length;
 		state.run = new ItemRun({
 			item,
 			replica,
 			connection,
-			contact: contacts.of(replica),
+			reachability: contacts.of(replica),
 			clock,
 			dialect,
-			isCurrent: () => maySendTo(this.#parts, replica),
+			isCurrent: () => isEligible(this.#parts, replica),
 			headers: itemHeaders(job.record.host, item.id, item.headers),
 			events,
 			caller: this.#callerOf(job),
@@ -364,10 +364,10 @@
 	}
 
 	/** An item that was late has waited behind those that could be on time, and says nothing of how long these take. */
-	#learn({dueAt, state: {begunAt = 0, ranMs}}: ItemPlace, lastRun: {events: number; elapsedMs: number; total: number}) {
+	#learn({dueAt, state: {firstStartedAt: begunAt = 0, ranMs}}: ItemPlace, lastRun: {events: number; elapsedMs: number; total: number}) {
 		const {clock} = this.#parts;
-		const length = learn(this.#runLength, lastRun);
-		this.#runLength = clock.wall() <= dueAt ? learnStretch(length, {elapsedMs: clock.now() - begunAt, ranMs}) : length;
+		const length = updateEstimate(this.#runLength, lastRun);
+		this.#runLength = clock.wall() <= dueAt ? updateSlowdown(length, {elapsedMs: clock.now() - begunAt, ranMs}) : length;
 	}
 
 	#onRunEnd({run, route, state, replica}: ItemPlace, end: ItemRunEnd) {
--- a/src/gateway/batch/failed-runs.ts
+++ b/src/gateway/batch/failed-runs.ts
@@ -49,12 +49,12 @@
 	}
 
 	/** Calls the listener when there is something to tell peers soon. */
-	onNews(listener: () => void): void {
+	onAnnouncementDue(listener: () => void): void {
 		this.#events.on('news', listener);
 	}
 
 	/** A replica has ended a run of this process with a failure. */
-	note(item: BatchItemId, replica: ReplicaId): void {
+	addOwn(item: BatchItemId, replica: ReplicaId): void {
 		this.#count += 1;
 		const run = branded<FailedRunId>(`${this.#parts.self}/${this.#startedAt}/${this.#count}`);
 		this.#take({run, item, replica});
@@ -65,7 +65,7 @@
 	}
 
 	/** Takes over what a peer tells, or what the former holder of a job has left. */
-	take(runs: readonly FailedRun[]): void {
+	addReceived(runs: readonly FailedRun[]): void {
 		runs.forEach(run => {
 			this.#take(run);
 		});
@@ -82,7 +82,7 @@
 	}
 
 	/** What this process's peers are to be told; nothing while nothing has failed of late. */
-	news(): readonly FailedRun[] | undefined {
+	announcement(): readonly FailedRun[] | undefined {
 		const since = this.#parts.clock.now() - tellMs;
 		this.#told = this.#told.filter(({at}) => at > since);
 		return this.#told.length > 0 ? this.#told.map(({run, item, replica}) => ({run, item, replica})) : undefined;
--- a/src/gateway/batch/item-run.ts
+++ b/src/gateway/batch/item-run.ts
@@ -5,11 +5,11 @@
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 import type {Clock, Disposable} from '../../common/services.js';
 import {
-	Attempt, type AnswerHead, type AttemptEnd, type AttemptPatience,
+	Attempt, type AnswerHead, type AttemptEnd, type AttemptTimeouts,
 } from '../attempt.js';
-import type {AttemptContact} from '../contacts/replica-contacts.js';
+import type {AttemptReachability} from '../contacts/replica-reachability.js';
 import {EventFramer, isEventStream} from '../event-framer.js';
-import type {ReplicaConnection} from '../replica-connections.js';
+import type {ReplicaConnection} from '../replica-connection-pool.js';
 import type {Replica} from '../replica.js';
 import type {CallDialect, CallerIdentity} from '../types.js';
 import type {BatchItem} from './batch-records.js';
@@ -27,7 +27,7 @@
 	readonly item: BatchItem;
 	readonly replica: Replica;
 	readonly connection: ReplicaConnection;
-	readonly contact: AttemptContact;
+	readonly reachability: AttemptReachability;
 	readonly clock: Clock;
 	readonly dialect: CallDialect;
 	/** See `Attempt`. */
@@ -42,7 +42,7 @@
 };
 
 /** An engine may be full of online calls for a second or two; a run without a byte for longer than this, in milliseconds, has lost its replica or its connection. */
-const patience: AttemptPatience = {silenceMs: 2500, canGoElsewhere: true};
+const patience: AttemptTimeouts = {silenceMs: 2500, canGoElsewhere: true};
 
 const lineEnd = /\r\n?/gv;
 
@@ -84,14 +84,14 @@
 
 	constructor(parts: ItemRunParts) {
 		const {
-			item, replica, connection, contact, clock, dialect, isCurrent, headers, events, caller,
+			item, replica, connection, reachability: contact, clock, dialect, isCurrent, headers, events, caller,
 		} = parts;
 		this.#parts = parts;
 		this.replica = replica;
 		this.#framer = new EventFramer(events.length);
 		this.#attempt = new Attempt({
 			connection,
-			contact,
+			reachability: contact,
 			clock,
 			dialect,
 			message: {
@@ -100,8 +100,8 @@
 			fields: {
 				requestId: item.id, replica: replica.record.id, lastEventId: events.length, caller,
 			},
-			patience,
-			isCurrent,
+			timeouts: patience,
+			isEligible: isCurrent,
 			listener: {
 				onHead: head => {
 					this.#head = head;
@@ -176,6 +176,6 @@
 	/** Only a length, or the mark of the last chunk, tells that a text is whole; a text without either may have been cut anywhere. */
 	get #isWholeText(): boolean {
 		const isInOrder = this.#framer.isInOrder && !this.#hasStrayEvent;
-		return isInOrder && !this.#framer.hasPartOfEvent && this.#head?.isFramed === true;
+		return isInOrder && !this.#framer.hasPartialEvent && this.#head?.isFramed === true;
 	}
 }
--- a/src/gateway/batch/job-claims.steps.ts
+++ b/src/gateway/batch/job-claims.steps.ts
@@ -11,7 +11,7 @@
 import {Quarantine} from '../quarantine/quarantine.js';
 import {ReplicaDirectory} from '../replica-directory.js';
 import type {BatchJobId, MemberName} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import {JobClaims} from './job-claims.js';
 
 type ClaimsWorld = TestWorld & {
@@ -44,14 +44,14 @@
 	});
 	const job = {id: jobId(name), isOpen: true, isHeld: false};
 	this.job = job;
-	const book = {
+	const jobIndex = {
 		get openJobs() {
 			return job.isOpen ? [job] : [];
 		},
 		job: () => job,
-	} as unknown as BatchBook;
+	} as unknown as JobIndex;
 	this.claims = new JobClaims({
-		self, book, peers: this.peers, clock, log, isLeaving: () => false, membersKnownAt: () => this.membersKnownAt,
+		self, jobIndex, peers: this.peers, clock, log, isLeaving: () => false, membersFirstLoadedAt: () => this.membersKnownAt,
 	});
 });
 
@@ -84,7 +84,7 @@
 
 const tell = (world: ClaimsWorld, peer: string, jobs: BatchJobId[]) => {
 	world.seq += 1;
-	world.peers.take({
+	world.peers.receive({
 		member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: world.seq, isLeaving: true, loads: [], jobs,
 	});
 };
--- a/src/gateway/batch/job-claims.ts
+++ b/src/gateway/batch/job-claims.ts
@@ -7,19 +7,19 @@
 import type {PeerState} from '../peers/peer-state.js';
 import type {PeerTable} from '../peers/peer-table.js';
 import type {BatchJobId, MemberName} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 
 /** What claims are decided from. */
 export type ClaimsParts = {
 	readonly self: MemberName;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly peers: PeerTable;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly isLeaving: () => boolean;
 	/** When this process first knew where its peers are, in milliseconds on the monotonic clock; `undefined` before. */
-	readonly membersKnownAt: () => number | undefined;
+	readonly membersFirstLoadedAt: () => number | undefined;
 };
 
 /** A process that knows where its peers are hears within this time, in milliseconds, which jobs they run; two of their messages. Before, nobody can have told it: the object API may answer late at its start. */
@@ -55,7 +55,7 @@
 
 	/** Decides anew. Call it when jobs or peers have changed, and every now and then. */
 	review(): void {
-		const {book, isLeaving} = this.#parts;
+		const {jobIndex: book, isLeaving} = this.#parts;
 		this.#noteStandstill();
 		const open = book.openJobs;
 		const openIds = new Set(open.map(({id}) => id));
@@ -76,7 +76,7 @@
 
 	/** Takes a job that its former holder has handed over. */
 	accept(id: BatchJobId): void {
-		if (this.#parts.book.job(id)?.isOpen && !this.#claimed.has(id)) {
+		if (this.#parts.jobIndex.job(id)?.isOpen && !this.#claimed.has(id)) {
 			this.#set(id, true);
 		}
 	}
@@ -125,7 +125,7 @@
 	}
 
 	#isOwnTurn(id: BatchJobId): boolean {
-		const {self, peers, clock, membersKnownAt} = this.#parts;
+		const {self, peers, clock, membersFirstLoadedAt: membersKnownAt} = this.#parts;
 		const now = clock.now();
 		if (now - Math.max(membersKnownAt() ?? now, this.#wokeAt) < listenFirstMs) {
 			return false;
--- a/src/gateway/batch/job-leaver.ts
+++ b/src/gateway/batch/job-handover.ts
@@ -31,7 +31,7 @@
 export type JobHandoverAnswer = {readonly isTaken: boolean};
 
 /** What handing over needs. */
-export type JobLeaverParts = {
+export type HandoverSenderParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
 	readonly contents: ContentStore;
@@ -51,15 +51,15 @@
 const mostAsked = 2;
 
 /** See the module's head. */
-export class JobLeaver {
-	readonly #parts: JobLeaverParts;
+export class HandoverSender {
+	readonly #parts: HandoverSenderParts;
 
-	constructor(parts: JobLeaverParts) {
+	constructor(parts: HandoverSenderParts) {
 		this.#parts = parts;
 	}
 
 	/** @param run - Its items' runs must have been cut off. */
-	async leave(run: JobRun): Promise<void> {
+	async handOver(run: JobRun): Promise<void> {
 		const {job} = run;
 		await run.writer.flush(writeLimitMs);
 		if (!job?.isOpen) {
--- a/src/gateway/batch/batch-book.ts
+++ b/src/gateway/batch/job-index.ts
@@ -26,7 +26,7 @@
 const heldRevision = branded<Revision>(0);
 
 /** See the module's head. */
-export class BatchBook {
+export class JobIndex {
 	readonly #events = new EventEmitter();
 	readonly #jobs = new Map<BatchJobId, BatchJob>();
 	/** Accepted here, and not in the object API yet. */
@@ -93,7 +93,7 @@
 	@param isEnough - Asked at once and after each change.
 	@returns Whether it was enough before the time was up.
 	*/
-	async until(id: BatchJobId, isEnough: () => boolean, limitMs: number): Promise<boolean> {
+	async waitUntil(id: BatchJobId, isEnough: () => boolean, limitMs: number): Promise<boolean> {
 		if (isEnough() || limitMs <= 0) {
 			return isEnough();
 		}
@@ -133,7 +133,7 @@
 	}
 
 	/** A caller asked for the end of a job, and the record of it is still to be written. */
-	endEarly(id: BatchJobId): void {
+	markEnded(id: BatchJobId): void {
 		this.#end(id);
 		this.#events.emit('change', new Set([id]));
 	}
--- a/src/gateway/batch/job-intake.steps.ts
+++ b/src/gateway/batch/job-intake.steps.ts
@@ -11,17 +11,17 @@
 import {until} from '../../common/testing/until.js';
 import {PrometheusMetrics} from '../../io/prometheus-metrics.js';
 import {SystemClock} from '../../io/system-clock.js';
-import type {JobHolders} from '../keeping/job-holders.js';
+import type {KeeperPool} from '../keeping/keeper-pool.js';
 import {ObjectFeed} from '../object-feed.js';
 import type {BatchItemId, BatchJobId, GatewayRoute} from '../types.js';
-import {BatchBook} from './batch-book.js';
+import {JobIndex} from './job-index.js';
 import {recordNames, type JobRecord} from './batch-records.js';
 import {ContentStore} from './content-store.js';
 import {JobIntake, type SubmissionOutcome} from './job-intake.js';
 
 type IntakeWorld = TestWorld & {
 	api: FakeObjectApi;
-	book: BatchBook;
+	jobIndex: JobIndex;
 	intake: JobIntake;
 	limit: number;
 	outcome: SubmissionOutcome;
@@ -30,7 +30,7 @@
 const log: EventLog = {emit: () => undefined};
 const clock = new SystemClock();
 const jobId = (name: string): BatchJobId => branded<BatchJobId>(name);
-const noKeepers: Pick<JobHolders, 'areEnough' | 'hold'> = {areEnough: false, hold: async () => 'none'};
+const noKeepers: Pick<KeeperPool, 'isSufficient' | 'hold'> = {isSufficient: false, hold: async () => 'none'};
 
 const foreignRecord = (job: string, tokens: number, limit: number): JobRecord => ({
 	type: 'job', job: jobId(job), route: 'notes', host: 'h', target: '/', submittedAt: 0, maxWaitingTokens: limit, isRoomy: false, items: [{id: branded<BatchItemId>(`${job}-0`), tokens}], content: `foreign-${job}`,
@@ -54,12 +54,12 @@
 	this.api = new FakeObjectApi();
 	this.limit = limit;
 	const feed = this.register(new ObjectFeed({api: this.api, clock, log}, 'BatchRecord', {waitMs: 50, mayLag: false}));
-	this.book = new BatchBook(feed);
+	this.jobIndex = new JobIndex(feed);
 	const metrics = this.register(new PrometheusMetrics());
 	feed.start();
-	await until(() => this.book.isKnown, 'the records are known');
+	await until(() => this.jobIndex.isKnown, 'the records are known');
 	this.intake = new JobIntake({
-		api: this.api, feed, book: this.book, contents: new ContentStore(this.api), holders: noKeepers, sharers: () => 1, clock, log, metrics,
+		api: this.api, feed, jobIndex: this.jobIndex, contents: new ContentStore(this.api), keeperPool: noKeepers, processCount: () => 1, clock, log, metrics,
 	});
 });
 
@@ -69,7 +69,7 @@
 
 Given('a job of {int} tokens is known to wait', async function (this: IntakeWorld, tokens: number) {
 	await this.api.create('BatchRecord', recordNames.job(jobId('b')), foreignRecord('b', tokens, this.limit));
-	await until(() => this.book.job(jobId('b')) !== undefined, 'the job is known');
+	await until(() => this.jobIndex.job(jobId('b')) !== undefined, 'the job is known');
 });
 
 Given('another front\'s job of {int} tokens is written just before this one', function (this: IntakeWorld, tokens: number) {
--- a/src/gateway/batch/job-intake.ts
+++ b/src/gateway/batch/job-intake.ts
@@ -9,13 +9,13 @@
 import type {ObjectFeed} from '../object-feed.js';
 import type {BatchJobId, ClientAccountName, GatewayRoute} from '../types.js';
 import type {HeldJob} from '../keeping/held-job.js';
-import type {JobHolders} from '../keeping/job-holders.js';
-import type {BatchBook} from './batch-book.js';
+import type {KeeperPool} from '../keeping/keeper-pool.js';
+import type {JobIndex} from './job-index.js';
 import type {ContentStore} from './content-store.js';
 import {
 	recordNames, tokensOf, type BatchItem, type JobRecord,
 } from './batch-records.js';
-import {JobWriter, type JobWrite} from './job-writer.js';
+import {JobWriter, type JobWriteResult} from './job-writer.js';
 
 /** A job as a caller sent it. */
 export type JobSubmission = {
@@ -36,11 +36,11 @@
 export type IntakeParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
-	readonly holders: Pick<JobHolders, 'areEnough' | 'hold'>;
+	readonly keeperPool: Pick<KeeperPool, 'isSufficient' | 'hold'>;
 	/** How many processes take jobs in, this one included. */
-	readonly sharers: () => number;
+	readonly processCount: () => number;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: Metrics;
@@ -71,7 +71,7 @@
 
 	/** @returns What the caller may be told. */
 	async submit(submission: JobSubmission): Promise<SubmissionOutcome> {
-		const {clock, book, log, metrics} = this.#parts;
+		const {clock, jobIndex: book, log, metrics} = this.#parts;
 		const startedAt = clock.now();
 		const outcome = await this.#submit(submission);
 		const {job, account, route, items} = submission;
@@ -83,7 +83,7 @@
 	}
 
 	async #submit(submission: JobSubmission): Promise<SubmissionOutcome> {
-		const {book, feed} = this.#parts;
+		const {jobIndex: book, feed} = this.#parts;
 		const {job} = submission;
 		if (book.job(job)?.isAdmitted) {
 			return this.#acceptedBefore(submission);
@@ -110,7 +110,7 @@
 
 	/** The outcome for a job that was accepted before: a retry, or the id of another account's job. */
 	#acceptedBefore({job, account}: Pick<JobSubmission, 'job' | 'account'>): SubmissionOutcome {
-		return this.#parts.book.job(job)?.isOpenTo(account) ? 'accepted' : 'foreign';
+		return this.#parts.jobIndex.job(job)?.isAccessibleTo(account) ? 'accepted' : 'foreign';
 	}
 
 	#seemsToFit(submission: JobSubmission): boolean {
@@ -127,12 +127,12 @@
 	#roomAfter(submission: JobSubmission): number {
 		const {route, account, items} = submission;
 		const limit = limitOf(submission);
-		return (limit === 0 ? Infinity : limit) - this.#parts.book.waitingTokens(route.name, account) - tokensOf(items);
+		return (limit === 0 ? Infinity : limit) - this.#parts.jobIndex.waitingTokens(route.name, account) - tokensOf(items);
 	}
 
 	async #write(submission: JobSubmission): Promise<SubmissionOutcome> {
 		const {job} = submission;
-		const standing = this.#parts.book.job(job);
+		const standing = this.#parts.jobIndex.job(job);
 		if (standing && !standing.isAdmitted) {
 			// Left by a process that could not take its refusal back; the job gets a new place in the order.
 			const isRemoved = await this.#takeBack(job);
@@ -151,7 +151,7 @@
 	}
 
 	/** A record that stood already may be another process's, which judged the job by its own view and may be about to take it back: only the order of the records tells whether it stays. */
-	async #settle({job, account, isRoomy}: JobRecord, {outcome, mayComeLate}: JobWrite): Promise<SubmissionOutcome> {
+	async #settle({job, account, isRoomy}: JobRecord, {outcome, hasUnansweredAttempt: mayComeLate}: JobWriteResult): Promise<SubmissionOutcome> {
 		if (outcome === 'created' && isRoomy) {
 			return 'accepted';
 		}
@@ -161,15 +161,15 @@
 
 	/** Processes do not know of each other's held jobs: together they may hold no more than what a roomy job leaves free. */
 	#mayBeHeld(submission: JobSubmission): boolean {
-		const {holders, book, sharers} = this.#parts;
+		const {keeperPool: holders, jobIndex: book, processCount: sharers} = this.#parts;
 		const limit = limitOf(submission);
 		const share = limit === 0 ? Infinity : limit * (1 - roomyShare) / sharers();
-		return holders.areEnough && book.heldTokens + tokensOf(submission.items) <= share;
+		return holders.isSufficient && book.heldTokens + tokensOf(submission.items) <= share;
 	}
 
 	/** Whichever comes first: the record in the object API, or enough copies on disks that will bring it there. */
-	async #writeOrHold(writing: Promise<JobWrite>, job: HeldJob): Promise<SubmissionOutcome> {
-		const {clock, holders, book, contents} = this.#parts;
+	async #writeOrHold(writing: Promise<JobWriteResult>, job: HeldJob): Promise<SubmissionOutcome> {
+		const {clock, keeperPool: holders, jobIndex: book, contents} = this.#parts;
 		const first = await Promise.race([writing, clock.sleep(patienceMs)]);
 		if (first && first.outcome !== 'away' && first.outcome !== 'uncertain') {
 			return this.#settle(job.record, first);
@@ -212,10 +212,10 @@
 	@param mayComeLate - Whether a try to write it went unanswered. Carried out after the record was taken back, it would find room and run a job that its caller was told will never run.
 	*/
 	async #judge({job, account}: Pick<JobRecord, 'job' | 'account'>, mayComeLate: boolean): Promise<SubmissionOutcome> {
-		const {book, feed} = this.#parts;
+		const {jobIndex: book, feed} = this.#parts;
 		const isThere = () => book.job(job) !== undefined;
-		await book.until(job, isThere, feedPatienceMs);
-		await feed.bring(isThere);
+		await book.waitUntil(job, isThere, feedPatienceMs);
+		await feed.ensureLoaded(isThere);
 		const entry = book.job(job);
 		if (!entry) {
 			return 'uncertain';
@@ -231,7 +231,7 @@
 
 	/** @returns Whether the record certainly stands no more. */
 	async #takeBack(job: BatchJobId): Promise<boolean> {
-		const {api, book} = this.#parts;
+		const {api, jobIndex: book} = this.#parts;
 		const removed = await api.remove('BatchRecord', recordNames.job(job), book.job(job)?.revision);
 		return removed.isRight() || errorOf(removed)?.kind === 'notFound';
 	}
--- a/src/gateway/batch/job-reader.ts
+++ b/src/gateway/batch/job-reader.ts
@@ -9,13 +9,13 @@
 import {gatewayEvents} from '../log-events.js';
 import type {ObjectFeed} from '../object-feed.js';
 import type {BatchItemId, BatchJobId, CallerIdentity} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 import {recordNames, type EndRecord, type ItemResult} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 
 /** Why a question has no answer. */
-export type NoAnswer = 'unknown' | 'unsure';
+export type JobReadError = 'unknown' | 'unsure';
 
 /** Results from a position on. */
 export type ResultsPage = {
@@ -25,7 +25,7 @@
 };
 
 /** A question for results. */
-export type ResultsQuestion = {
+export type ResultsRequest = {
 	readonly job: BatchJobId;
 	/** The first position, counted from 0. */
 	readonly after: number;
@@ -37,7 +37,7 @@
 export type ReaderParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -63,21 +63,21 @@
 	}
 
 	/** @param caller - Where there are accounts, the caller; jobs of other accounts do not exist for it. */
-	async results({job, after, waitMs}: ResultsQuestion, caller?: CallerIdentity): Promise<ResultsPage | NoAnswer> {
+	async results({job, after, waitMs}: ResultsRequest, caller?: CallerIdentity): Promise<ResultsPage | JobReadError> {
 		const found = await this.#find(job, caller);
 		if (typeof found === 'string') {
 			return found;
 		}
 
-		const {book, feed} = this.#parts;
+		const {jobIndex: book, feed} = this.#parts;
 		const current = () => book.job(job);
-		if (after > found.results.length && !(await feed.bring(() => (current()?.results.length ?? 0) >= after))) {
+		if (after > found.results.length && !(await feed.ensureLoaded(() => (current()?.results.length ?? 0) >= after))) {
 			// The caller has read that position somewhere.
 			return 'unsure';
 		}
 
 		const isAnswerable = () => (current()?.results.length ?? 0) > after || current()?.isOpen !== true;
-		await book.until(job, isAnswerable, waitMs);
+		await book.waitUntil(job, isAnswerable, waitMs);
 		if (!isAnswerable() && !(await this.#isTrusted())) {
 			return 'unsure';
 		}
@@ -87,7 +87,7 @@
 	}
 
 	/** @returns The bytes that the item is sent with. */
-	async body({job, item}: {readonly job: BatchJobId; readonly item: BatchItemId}, caller?: CallerIdentity): Promise<Buffer | NoAnswer> {
+	async body({job, item}: {readonly job: BatchJobId; readonly item: BatchItemId}, caller?: CallerIdentity): Promise<Buffer | JobReadError> {
 		const found = await this.#find(job, caller);
 		if (typeof found === 'string') {
 			return found;
@@ -98,14 +98,14 @@
 		}
 
 		const read = await this.#parts.contents.read('items', found.record.content);
-		return read.caseOf<Buffer | NoAnswer>({
+		return read.caseOf<Buffer | JobReadError>({
 			Left: () => 'unsure',
 			Right: ({items}) => Buffer.from(items.find(({id}) => id === item)?.body ?? '', 'base64'),
 		});
 	}
 
 	/** Ends a job. */
-	async end(job: BatchJobId, caller?: CallerIdentity): Promise<'ended' | NoAnswer> {
+	async end(job: BatchJobId, caller?: CallerIdentity): Promise<'ended' | JobReadError> {
 		const found = await this.#find(job, caller);
 		const outcome = typeof found === 'string' ? found : await this.#end(job);
 		this.#parts.log.emit(gatewayEvents.jobEnded, {id: job, outcome});
@@ -113,7 +113,7 @@
 	}
 
 	/** Reads the contents of as many results as an answer may hold; one that cannot be read ends the answer before it. */
-	async #page({results, record}: BatchJob, after: number): Promise<ResultsPage | NoAnswer> {
+	async #page({results, record}: BatchJob, after: number): Promise<ResultsPage | JobReadError> {
 		const page: ItemResult[] = [];
 		const listed = results.slice(after);
 		let bytes = 0;
@@ -133,9 +133,9 @@
 			: {total: record.items.length, next: Math.min(after, results.length) + page.length, results: page};
 	}
 
-	async #end(job: BatchJobId): Promise<'ended' | NoAnswer> {
+	async #end(job: BatchJobId): Promise<'ended' | JobReadError> {
 		// Whoever wants no more of a job is not helped by its running on while the record waits to be written.
-		this.#parts.book.endEarly(job);
+		this.#parts.jobIndex.markEnded(job);
 		if (await this.#writeEnd(job)) {
 			return 'ended';
 		}
@@ -162,13 +162,13 @@
 		this.#parts.log.emit(gatewayEvents.jobEnded, {id: job, outcome: isWritten ? 'written later' : 'not written'});
 	}
 
-	async #find(id: BatchJobId, caller: CallerIdentity | undefined): Promise<BatchJob | NoAnswer> {
+	async #find(id: BatchJobId, caller: CallerIdentity | undefined): Promise<BatchJob | JobReadError> {
 		const found = await this.#findAny(id);
-		return typeof found === 'string' || !caller || found.isOpenTo(caller.account) ? found : 'unknown';
+		return typeof found === 'string' || !caller || found.isAccessibleTo(caller.account) ? found : 'unknown';
 	}
 
-	async #findAny(id: BatchJobId): Promise<BatchJob | NoAnswer> {
-		const {api, book, feed} = this.#parts;
+	async #findAny(id: BatchJobId): Promise<BatchJob | JobReadError> {
+		const {api, jobIndex: book, feed} = this.#parts;
 		const known = admitted(book.job(id));
 		if (known) {
 			return known;
@@ -179,13 +179,13 @@
 			return errorOf(read)?.kind === 'notFound' ? 'unknown' : 'unsure';
 		}
 
-		await feed.bring(() => book.job(id) !== undefined);
+		await feed.ensureLoaded(() => book.job(id) !== undefined);
 		return admitted(book.job(id)) ?? (book.job(id) ? 'unknown' : 'unsure');
 	}
 
 	async #isTrusted(): Promise<boolean> {
 		const {feed, clock} = this.#parts;
-		return clock.now() - feed.knownAt < trustedMs || feed.sync();
+		return clock.now() - feed.currentAsOf < trustedMs || feed.sync();
 	}
 }
 
--- a/src/gateway/batch/job-terms.ts
+++ b/src/gateway/batch/job-route-policy.ts
@@ -13,7 +13,7 @@
 const clockSlackMs = 5000;
 
 /** See the module's head. */
-export class JobTerms {
+export class JobRoutePolicy {
 	readonly #board: ConfigBoard;
 	readonly #clock: Clock;
 	readonly #routeGoneSince = new Map<BatchJobId, number>();
@@ -47,7 +47,7 @@
 	}
 
 	/** Whether items of the job are to be given up. */
-	isOverdue({record}: BatchJob, {batch}: GatewayRoute): boolean {
+	isExpired({record}: BatchJob, {batch}: GatewayRoute): boolean {
 		return this.#clock.wall() > record.submittedAt + (batch?.giveUpMs ?? Infinity) + clockSlackMs;
 	}
 
--- a/src/gateway/batch/job-run.steps.ts
+++ b/src/gateway/batch/job-run.steps.ts
@@ -36,7 +36,7 @@
 
 const begin = (world: JobRunWorld, stored: ReadonlyMap<string, readonly ItemProgress[]> = new Map()) => {
 	const job = {
-		isOpen: true, isListed: () => false, handovers: [...stored.keys()], record: {items: world.items, content: 'items'},
+		isOpen: true, isCommitted: () => false, handoverContents: [...stored.keys()], record: {items: world.items, content: 'items'},
 	} as unknown as BatchJob;
 	world.results = new Map();
 	const writer = {
--- a/src/gateway/batch/job-run.ts
+++ b/src/gateway/batch/job-run.ts
@@ -4,13 +4,13 @@
 import type {Clock, Disposable, EventLog} from '../../common/services.js';
 import {gatewayEvents} from '../log-events.js';
 import type {BatchItemId, GatewayRoute, ReplicaId} from '../types.js';
-import type {WatchedContent} from '../quarantine/watched-content.js';
+import type {TrackedContent} from '../quarantine/tracked-content.js';
 import type {BatchJob} from './batch-job.js';
 import type {BatchItem, ItemProgress} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 import type {FailedRuns} from './failed-runs.js';
 import type {ItemRun, ItemRunEnd} from './item-run.js';
-import type {JobHandover} from './job-leaver.js';
+import type {JobHandover} from './job-handover.js';
 import type {ResultWriter} from './result-writer.js';
 
 /** What is known of an item between its runs. */
@@ -24,9 +24,9 @@
 	/** How its last run here ended. */
 	lastEnd: ItemRunEnd | undefined;
 	/** Made when the item is first looked at for a place. */
-	watched: WatchedContent | undefined;
+	trackedContent: TrackedContent | undefined;
 	/** When its first run here began, in milliseconds on the monotonic clock. */
-	begunAt: number | undefined;
+	firstStartedAt: number | undefined;
 	/** Milliseconds that its runs here have taken together. */
 	ranMs: number;
 };
@@ -125,7 +125,7 @@
 		}
 
 		if (end === 'failed') {
-			this.#parts.failedRuns.note(state.item.id, replica);
+			this.#parts.failedRuns.addOwn(state.item.id, replica);
 		}
 
 		if (end === 'hopeless' || this.#hasFailedTooOften(state, route)) {
@@ -143,7 +143,7 @@
 	/** Lists all items that have no result as not done. */
 	giveUpAll(): void {
 		const {job} = this;
-		this.cutAll();
+		this.cancelRuns();
 		job?.record.items.filter(({id}) => this.#isUnfinished(job, id)).forEach(({id}) => {
 			this.#giveUp(id);
 		});
@@ -151,12 +151,12 @@
 
 	/** Cuts all runs off and writes no more. */
 	dispose(): void {
-		this.cutAll();
+		this.cancelRuns();
 		this.writer.dispose();
 	}
 
 	/** Cuts all runs off; what they have brought stays. */
-	cutAll(): void {
+	cancelRuns(): void {
 		this.running.forEach(({run}) => {
 			run?.dispose();
 		});
@@ -190,7 +190,7 @@
 			state.events = [...events];
 		}
 
-		this.#parts.failedRuns.take(failedRuns);
+		this.#parts.failedRuns.addReceived(failedRuns);
 	}
 
 	#hasFailedTooOften({item}: ItemState, {maxRuns}: Pick<GatewayRoute, 'maxRuns'>): boolean {
@@ -202,7 +202,7 @@
 	}
 
 	#isUnfinished(job: BatchJob, id: BatchItemId): boolean {
-		return !job.isListed(id) && !this.writer.has(id);
+		return !job.isCommitted(id) && !this.writer.has(id);
 	}
 
 	async #load() {
@@ -214,11 +214,11 @@
 		const {contents, failedRuns} = this.#parts;
 		const [items, ...handovers] = await Promise.all([
 			contents.read('items', job.record.content),
-			...job.handovers.map(async name => contents.read('progress', name)),
+			...job.handoverContents.map(async name => contents.read('progress', name)),
 		]);
 		const left = handovers.flatMap(handover => handover.toMaybe().extract()?.items ?? []);
 		left.forEach(progress => {
-			failedRuns.take(progress.failedRuns);
+			failedRuns.addReceived(progress.failedRuns);
 		});
 		items.ifRight(content => {
 			content.items.forEach(item => {
@@ -238,8 +238,8 @@
 		notBefore: 0,
 		run: undefined,
 		lastEnd: undefined,
-		watched: undefined,
-		begunAt: undefined,
+		trackedContent: undefined,
+		firstStartedAt: undefined,
 		ranMs: 0,
 	};
 };
--- a/src/gateway/batch/job-runs.ts
+++ b/src/gateway/batch/job-runs.ts
@@ -3,18 +3,18 @@
 */
 import type {Clock, Disposable} from '../../common/services.js';
 import type {BatchJobId} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {ContentStore} from './content-store.js';
 import type {FailedRuns} from './failed-runs.js';
 import type {JobClaims} from './job-claims.js';
-import {JobLeaver, type JobHandover, type JobLeaverParts} from './job-leaver.js';
+import {HandoverSender, type JobHandover, type HandoverSenderParts} from './job-handover.js';
 import {JobRun} from './job-run.js';
-import type {JobTerms} from './job-terms.js';
+import type {JobRoutePolicy} from './job-route-policy.js';
 import {ResultWriter, type ResultWriterParts} from './result-writer.js';
 
 /** What the runs are made from. */
-export type JobRunsParts = JobLeaverParts & ResultWriterParts & {
-	readonly book: BatchBook;
+export type JobRunsParts = HandoverSenderParts & ResultWriterParts & {
+	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
 	readonly claims: JobClaims;
 	readonly failedRuns: FailedRuns;
@@ -27,17 +27,17 @@
 /** See the module's head. */
 export class JobRuns implements Disposable {
 	readonly #parts: JobRunsParts;
-	readonly #terms: JobTerms;
-	readonly #leaver: JobLeaver;
+	readonly #terms: JobRoutePolicy;
+	readonly #leaver: HandoverSender;
 	readonly #runs = new Map<BatchJobId, JobRun>();
 	/** Left by former holders, of jobs that this process does not run yet. */
 	readonly #received = new Map<BatchJobId, JobHandover[]>();
 	#isLeaving = false;
 
-	constructor(parts: JobRunsParts, terms: JobTerms) {
+	constructor(parts: JobRunsParts, terms: JobRoutePolicy) {
 		this.#parts = parts;
 		this.#terms = terms;
-		this.#leaver = new JobLeaver(parts);
+		this.#leaver = new HandoverSender(parts);
 	}
 
 	get all(): readonly JobRun[] {
@@ -68,10 +68,10 @@
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
 		this.all.forEach(run => {
-			run.cutAll();
+			run.cancelRuns();
 		});
 		await Promise.all([...this.#runs].map(async ([id, run]) => {
-			await this.#leaver.leave(run);
+			await this.#leaver.handOver(run);
 			this.#parts.claims.release(id);
 			this.#close(id);
 		}));
@@ -106,7 +106,7 @@
 
 	#open(id: BatchJobId) {
 		const {
-			book, contents, failedRuns, clock, log,
+			jobIndex: book, contents, failedRuns, clock, log,
 		} = this.#parts;
 		const job = () => book.job(id);
 		const writer = new ResultWriter(this.#parts, job, accepted => this.#terms.dueAt(accepted));
--- a/src/gateway/batch/job-writer.ts
+++ b/src/gateway/batch/job-writer.ts
@@ -14,10 +14,10 @@
 export type JobWriteOutcome = 'created' | 'found' | 'away' | 'tooLarge' | 'uncertain';
 
 /** See {@link JobWriteOutcome}. */
-export type JobWrite = {
+export type JobWriteResult = {
 	readonly outcome: JobWriteOutcome;
 	/** Whether a try went unanswered. The object API may carry it out seconds later, also after the record was removed again. */
-	readonly mayComeLate: boolean;
+	readonly hasUnansweredAttempt: boolean;
 };
 
 /** What writing needs. */
@@ -47,31 +47,31 @@
 	}
 
 	/** The content stands before the record that names it; alone it means nothing. */
-	async write(record: JobRecord, items: readonly BatchItem[]): Promise<JobWrite> {
+	async write(record: JobRecord, items: readonly BatchItem[]): Promise<JobWriteResult> {
 		const {api, contents} = this.#parts;
 		const content = await this.#tryFor(async () => contents.write(record.content, {type: 'items', items}));
 		if (content.outcome !== 'created') {
-			return {outcome: content.outcome === 'tooLarge' ? 'tooLarge' : 'away', mayComeLate: false};
+			return {outcome: content.outcome === 'tooLarge' ? 'tooLarge' : 'away', hasUnansweredAttempt: false};
 		}
 
 		return this.#tryFor(async () => api.create('BatchRecord', recordNames.job(record.job), record));
 	}
 
-	async #tryFor(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWrite> {
+	async #tryFor(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWriteResult> {
 		const {clock} = this.#parts;
 		const startedAt = clock.now();
-		let mayComeLate = false;
-		while (clock.now() - startedAt < (mayComeLate ? writeLimitMs : certainLimitMs)) {
+		let hasUnansweredAttempt = false;
+		while (clock.now() - startedAt < (hasUnansweredAttempt ? writeLimitMs : certainLimitMs)) {
 			const err = errorOf(await write());
 			if (!err || isFinal(err)) {
-				return {outcome: finalOutcome(err), mayComeLate};
+				return {outcome: finalOutcome(err), hasUnansweredAttempt};
 			}
 
-			mayComeLate ||= err.kind === 'unknown';
+			hasUnansweredAttempt ||= err.kind === 'unknown';
 			await clock.sleep(retryMs);
 		}
 
-		return {outcome: mayComeLate ? 'uncertain' : 'away', mayComeLate};
+		return {outcome: hasUnansweredAttempt ? 'uncertain' : 'away', hasUnansweredAttempt};
 	}
 }
 
--- a/src/gateway/batch/result-writer.steps.ts
+++ b/src/gateway/batch/result-writer.steps.ts
@@ -11,7 +11,7 @@
 import {SystemClock} from '../../io/system-clock.js';
 import {ObjectFeed} from '../object-feed.js';
 import type {BatchItemId, BatchJobId} from '../types.js';
-import {BatchBook} from './batch-book.js';
+import {JobIndex} from './job-index.js';
 import {recordNames, type JobRecord, type PageRecord} from './batch-records.js';
 import {ContentStore} from './content-store.js';
 import {ResultWriter} from './result-writer.js';
@@ -66,12 +66,12 @@
 	};
 	await this.api.create('BatchRecord', recordNames.job(job), record);
 	const feed = this.register(new ObjectFeed({api: this.api, clock: new SystemClock(), log}, 'BatchRecord', {waitMs: 50, mayLag: false}));
-	const book = new BatchBook(feed);
+	const jobIndex = new JobIndex(feed);
 	feed.start();
-	await until(() => book.job(job) !== undefined, 'the job is known');
+	await until(() => jobIndex.job(job) !== undefined, 'the job is known');
 	this.writer = this.register(new ResultWriter({
-		api: this.api, feed, book, contents: new ContentStore(this.api), clock: this.clock, log,
-	}, () => book.job(job), () => dueMs));
+		api: this.api, feed, jobIndex, contents: new ContentStore(this.api), clock: this.clock, log,
+	}, () => jobIndex.job(job), () => dueMs));
 });
 
 When('item {int} is done', function (this: WriterWorld, item: number) {
--- a/src/gateway/batch/result-writer.ts
+++ b/src/gateway/batch/result-writer.ts
@@ -8,7 +8,7 @@
 import {gatewayEvents} from '../log-events.js';
 import type {ObjectFeed} from '../object-feed.js';
 import type {BatchItemId, BatchJobId} from '../types.js';
-import type {BatchBook} from './batch-book.js';
+import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 import {recordNames, type ItemResult, type PageRecord} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
@@ -17,7 +17,7 @@
 export type ResultWriterParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
-	readonly book: BatchBook;
+	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -138,14 +138,14 @@
 			return false;
 		}
 
-		[...this.#pending.keys()].filter(id => job.isListed(id)).forEach(id => {
+		[...this.#pending.keys()].filter(id => job.isCommitted(id)).forEach(id => {
 			this.#pending.delete(id);
 		});
 		return this.#pending.size > 0;
 	}
 
 	async #writePage(): Promise<boolean> {
-		const {api, feed, book, log} = this.#parts;
+		const {api, feed, jobIndex: book, log} = this.#parts;
 		const job = this.#job();
 		if (!job) {
 			return true;
@@ -163,7 +163,7 @@
 		}
 
 		const page: PageRecord = {
-			type: 'page', job: job.id, number: job.pages, results: results.map(({id, state}) => ({id, state})), content,
+			type: 'page', job: job.id, number: job.pageCount, results: results.map(({id, state}) => ({id, state})), content,
 		};
 		const created = await api.create('BatchRecord', recordNames.page(page.job, page.number), page);
 		const err = errorOf(created);
@@ -174,9 +174,9 @@
 			return false;
 		}
 
-		const isBack = () => (this.#job()?.pages ?? Infinity) > page.number;
-		await book.until(job.id, isBack, feedPatienceMs);
-		return feed.bring(isBack);
+		const isBack = () => (this.#job()?.pageCount ?? Infinity) > page.number;
+		await book.waitUntil(job.id, isBack, feedPatienceMs);
+		return feed.ensureLoaded(isBack);
 	}
 
 	/** @returns Its name; nothing when it could not be written. Results that were written before are not written again. */
--- a/src/gateway/batch/place-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -12,17 +12,17 @@
 import {PeerTable} from '../peers/peer-table.js';
 import {Quarantine} from '../quarantine/quarantine.js';
 import {ReplicaDirectory} from '../replica-directory.js';
-import type {ReplicaLinks} from '../replica-links.js';
+import type {ReplicaConnectionPools} from '../replica-connection-pools.js';
 import type {
 	GatewayRoute, GatewayServiceName, MemberName, ReplicaId,
 } from '../types.js';
-import {assumedRunLength, countWaiting} from './batch-policy.js';
-import {PlaceFinder, type PlaceSeeker} from './place-finder.js';
+import {initialRunEstimate, countWaiting} from './batch-policy.js';
+import {SlotFinder, type SlotRequest} from './slot-finder.js';
 
 type FinderWorld = TestWorld & {
 	now: number;
 	peers: PeerTable;
-	finder: PlaceFinder;
+	finder: SlotFinder;
 	taken: number;
 };
 
@@ -38,7 +38,7 @@
 };
 
 const tell = ({peers}: FinderWorld, member: string, waiting: readonly SharedWaiting[] | undefined) => {
-	peers.take({
+	peers.receive({
 		member: branded<MemberName>(member), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [], waiting,
 	});
 };
@@ -52,8 +52,8 @@
 	this.peers = new PeerTable({
 		self: branded<MemberName>('front-1'), directory, loads: new LoadBoard(), quarantine: new Quarantine({clock, log}), clock, log,
 	});
-	this.finder = new PlaceFinder({
-		directory, links: {} as unknown as ReplicaLinks, peers: this.peers, clock, random: new SeededRandom(1), failureDomain: 'hall',
+	this.finder = new SlotFinder({
+		directory, connectionPools: {} as unknown as ReplicaConnectionPools, peers: this.peers, clock, random: new SeededRandom(1), failureDomain: 'hall',
 	});
 });
 
@@ -75,16 +75,16 @@
 	// A front looks for silent peers several times a second; a longer time without a look is a pause of its own.
 	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += lookMs) {
 		this.now += lookMs;
-		this.peers.dropSilent();
+		this.peers.removeUnresponsive();
 	}
 });
 
 const look = (world: FinderWorld, {items, dueInMs, times}: {items: number; dueInMs: number; times: number}) => {
-	const seeker: PlaceSeeker = {
-		route, dueAt: world.now + dueInMs, events: 0, failedAt: new Set(), needsNewConnection: false,
+	const seeker: SlotRequest = {
+		route, dueAt: world.now + dueInMs, events: 0, failedReplicas: new Set(), needsNewConnection: false,
 	};
-	const own = countWaiting(Array.from({length: items}, () => seeker), assumedRunLength, world.now);
-	world.taken = Array.from({length: times}, () => world.finder.allowance(seeker, own, assumedRunLength)).reduce((sum, places) => sum + places, 0) / times;
+	const own = countWaiting(Array.from({length: items}, () => seeker), initialRunEstimate, world.now);
+	world.taken = Array.from({length: times}, () => world.finder.allowance(seeker, own, initialRunEstimate)).reduce((sum, places) => sum + places, 0) / times;
 };
 
 When('{int} items that are late look for places {int} times', function (this: FinderWorld, items: number, times: number) {
