--- a/src/gateway/batch/place-finder.ts
+++ b/src/gateway/batch/slot-finder.ts
@@ -4,34 +4,34 @@
 import type {Clock, RandomSource} from '../../common/services.js';
 import type {PeerTable} from '../peers/peer-table.js';
 import {chooseForBatch} from '../replica-choice.js';
-import type {ReplicaConnection} from '../replica-connections.js';
+import type {ReplicaConnection} from '../replica-connection-pool.js';
 import type {ReplicaDirectory} from '../replica-directory.js';
-import type {ReplicaLinks} from '../replica-links.js';
+import type {ReplicaConnectionPools} from '../replica-connection-pools.js';
 import type {Replica} from '../replica.js';
 import type {GatewayRoute, ReplicaId} from '../types.js';
 import {
-	allowance, reservedPlaces, slackMs, type RunLength, type WaitingCounts, type WaitingItem,
+	slotAllowance, reservedSlots, slackMs, type RunEstimate, type WaitingCounts, type WaitingItem,
 } from './batch-policy.js';
 
 /** A place at a replica, with the connection to use it by. */
-export type FoundPlace = {
+export type FoundSlot = {
 	readonly replica: Replica;
 	readonly connection: ReplicaConnection;
 };
 
 /** What a place is looked for by. */
-export type PlaceSeeker = WaitingItem & {
+export type SlotRequest = WaitingItem & {
 	readonly route: GatewayRoute;
 	/** Replicas that have failed the item: it is tried elsewhere, or one bad replica would use up all the runs that its route allows, and the item be given up for good. */
-	readonly failedAt: ReadonlySet<ReplicaId>;
+	readonly failedReplicas: ReadonlySet<ReplicaId>;
 	/** Whether its last run got no usable answer: other kept connections may be as silent. */
 	readonly needsNewConnection: boolean;
 };
 
 /** What the finder reads. */
-export type PlaceFinderParts = {
+export type SlotFinderParts = {
 	readonly directory: ReplicaDirectory;
-	readonly links: ReplicaLinks;
+	readonly connectionPools: ReplicaConnectionPools;
 	readonly peers: PeerTable;
 	readonly clock: Clock;
 	readonly random: RandomSource;
@@ -41,15 +41,15 @@
 const noneTried: ReadonlySet<never> = new Set();
 
 /** See the module's head. */
-export class PlaceFinder {
-	readonly #parts: PlaceFinderParts;
+export class SlotFinder {
+	readonly #parts: SlotFinderParts;
 
-	constructor(parts: PlaceFinderParts) {
+	constructor(parts: SlotFinderParts) {
 		this.#parts = parts;
 	}
 
 	/** Processes that look for places, this one included. */
-	get sharers(): number {
+	get processCount(): number {
 		return 1 + this.#parts.peers.live.filter(({jobs}) => jobs.size > 0).length;
 	}
 
@@ -59,23 +59,23 @@
 	@param first - The most urgent item; it decides how many places stay free.
 	@param own - How many items of the route wait here.
 	*/
-	allowance(first: PlaceSeeker, own: WaitingCounts, length: RunLength): number {
+	allowance(first: SlotRequest, own: WaitingCounts, length: RunEstimate): number {
 		const reserve = this.#reserveFor(first, length);
 		const free = this.#replicasOf(first.route)
 			.map(({total, record}) => Math.max(0, record.slots - reserve - total))
 			.reduce((sum, places) => sum + places, 0);
-		return allowance(free, {own, all: this.#waitingOfAll(first.route, own)}, this.#parts.random.next());
+		return slotAllowance(free, {own, all: this.#waitingOfAll(first.route, own)}, this.#parts.random.next());
 	}
 
 	/** @returns Nothing when no replica has a place to spare, or no connection is left to the one that has. */
-	placeFor(item: PlaceSeeker, length: RunLength): FoundPlace | undefined {
-		const {clock, random, failureDomain, links} = this.#parts;
+	findSlot(item: SlotRequest, length: RunEstimate): FoundSlot | undefined {
+		const {clock, random, failureDomain, connectionPools: links} = this.#parts;
 		const replicas = this.#replicasOf(item.route);
-		const tried = replicas.every(({record}) => item.failedAt.has(record.id)) ? noneTried : item.failedAt;
+		const tried = replicas.every(({record}) => item.failedReplicas.has(record.id)) ? noneTried : item.failedReplicas;
 		const replica = chooseForBatch(replicas, this.#reserveFor(item, length), {
-			now: clock.now(), random, failureDomain, tried, sharers: this.sharers, canGoElsewhere: true,
+			now: clock.now(), random, failureDomain, tried, processCount: this.processCount, canFailOver: true,
 		});
-		const connection = replica && links.take(replica, item.needsNewConnection);
+		const connection = replica && links.acquire(replica, item.needsNewConnection);
 		return replica && connection && {replica, connection};
 	}
 
@@ -85,8 +85,8 @@
 			.reduce((sum, {timely, late}) => ({timely: sum.timely + timely, late: sum.late + late}), own);
 	}
 
-	#reserveFor(item: PlaceSeeker, length: RunLength): number {
-		return reservedPlaces(slackMs(item, length, this.#parts.clock.wall()));
+	#reserveFor(item: SlotRequest, length: RunEstimate): number {
+		return reservedSlots(slackMs(item, length, this.#parts.clock.wall()));
 	}
 
 	#replicasOf({targets}: GatewayRoute): readonly Replica[] {
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -8,7 +8,7 @@
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {AnswerHead, Attempt} from './attempt.js';
-import {EventFramer, isEventStream, StreamEnd} from './event-framer.js';
+import {EventFramer, isEventStream, EventBoundaryTracker} from './event-framer.js';
 
 /** How a call's answer is passed on. */
 export type PassingRules = {
@@ -48,7 +48,7 @@
 	readonly #isRepeatable: boolean;
 	readonly #isStream: boolean;
 	readonly #framer: EventFramer;
-	readonly #streamEnd = new StreamEnd();
+	readonly #streamEnd = new EventBoundaryTracker();
 	/** What the caller has got, or is to get unless another run begins before. */
 	#head: AnswerHead | undefined;
 	#passing: Passing = 'none';
@@ -71,7 +71,7 @@
 	/** Whether an answer that has ended in order is whole. */
 	readonly #wholeness: Readonly<Record<Passing, () => boolean>> = {
 		held: () => true,
-		events: () => !this.#framer.hasPartOfEvent,
+		events: () => !this.#framer.hasPartialEvent,
 		stream: () => !this.#streamEnd.isWithinEvent,
 		bytes: () => true,
 		none: () => false,
@@ -90,7 +90,7 @@
 	}
 
 	/** Whether another run can bring what the caller lacks. */
-	get canGoOn(): boolean {
+	get canResume(): boolean {
 		return !this.hasBegun || (this.#isResumable && this.#framer.isNumbered);
 	}
 
@@ -105,7 +105,7 @@
 	}
 
 	/** Whether the run that has ended in order makes the caller's answer whole. It does not if it ended within an event, or if the caller has part of a stream and the run answered something else. */
-	get isWhole(): boolean {
+	get isComplete(): boolean {
 		return this.#wholeness[this.#passing]();
 	}
 
@@ -113,7 +113,7 @@
 	begin(head: AnswerHead): void {
 		this.#held = [];
 		if (this.hasBegun) {
-			this.#framer.beginLaterRun();
+			this.#framer.startNextRun();
 			this.#passing = this.#isResumable && isEventStream(head) ? 'events' : 'none';
 			return;
 		}
@@ -123,7 +123,7 @@
 	}
 
 	/** @param source - Paused while the caller does not read. */
-	take(bytes: Buffer, source: Attempt | undefined): void {
+	forward(bytes: Buffer, source: Attempt | undefined): void {
 		const passed = this.#takers[this.#passing](bytes);
 		if (passed.length > 0) {
 			this.#write(passed, source);
@@ -131,8 +131,8 @@
 	}
 
 	/** Forgets what the caller has not got of a run that broke off. */
-	dropRest(): void {
-		this.#framer.dropRest();
+	discardUnsent(): void {
+		this.#framer.discardRemainder();
 		this.#held = [];
 	}
 
@@ -142,7 +142,7 @@
 		this.#held.forEach(bytes => {
 			this.#res.write(bytes);
 		});
-		this.#res.end(this.#passing === 'events' ? this.#framer.rest : empty);
+		this.#res.end(this.#passing === 'events' ? this.#framer.remainder : empty);
 	}
 
 	/** Answers without a body, by the gateway itself. */
--- a/src/gateway/config-board.ts
+++ b/src/gateway/config-board.ts
@@ -45,7 +45,7 @@
 	}
 
 	/** @returns Whether it is newer than what was known, and so in force now. */
-	offer(config: GatewayConfig): boolean {
+	applyIfNewer(config: GatewayConfig): boolean {
 		if (this.#config && config.version <= this.#config.version) {
 			return false;
 		}
--- a/src/gateway/config-controller.ts
+++ b/src/gateway/config-controller.ts
@@ -45,7 +45,7 @@
 				log.emit(gatewayEvents.configUnreadable, {name, reason});
 			})
 			.ifRight(config => {
-				if (board.offer(config)) {
+				if (board.applyIfNewer(config)) {
 					log.emit(gatewayEvents.configInForce, {
 						version: config.version, routes: config.routes.length, services: config.services.length, accounts: config.accounts?.length,
 					});
--- a/src/gateway/contacts/recent-outcomes.ts
+++ b/src/gateway/contacts/recent-outcomes.ts
@@ -49,12 +49,12 @@
 	}
 
 	/** Takes over what a peer has seen, in place of what it told before. */
-	takePeer(peer: MemberName, counts: OutcomeCounts, now: number): void {
+	receivePeerCounts(peer: MemberName, counts: OutcomeCounts, now: number): void {
 		this.#peers.set(peer, {...counts, at: now});
 	}
 
 	/** What this process has seen itself. */
-	own(now: number): OutcomeCounts {
+	ownCounts(now: number): OutcomeCounts {
 		return faded(this.#own, now);
 	}
 
--- a/src/gateway/contacts/replica-contacts.steps.ts
+++ b/src/gateway/contacts/replica-reachability.steps.ts
@@ -9,10 +9,10 @@
 import {until} from '../../common/testing/until.js';
 import {ReplicaDirectory} from '../replica-directory.js';
 import type {GatewayServiceName, ReplicaId} from '../types.js';
-import {ReplicaContacts} from './replica-contacts.js';
+import {ReplicaReachability} from './replica-reachability.js';
 
 type ContactsWorld = TestWorld & {
-	contacts: ReplicaContacts;
+	contacts: ReplicaReachability;
 	directory: ReplicaDirectory;
 	now: number;
 	canConnect: boolean;
@@ -38,7 +38,7 @@
 		id: branded<ReplicaId>(id), service: branded<GatewayServiceName>('engines'), address: '127.0.0.1:1', failureDomain: 'hall', slots: 8, isDraining: false,
 	});
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
-	this.contacts = this.register(new ReplicaContacts({
+	this.contacts = this.register(new ReplicaReachability({
 		directory: this.directory, clock, log, dial: async () => {
 			this.dials += 1;
 			return this.canConnect;
@@ -89,20 +89,20 @@
 });
 
 Then('a connection may take {int} ms', function (this: ContactsWorld, ms: number) {
-	assert.equal(contactOf(this).connectMs, ms);
+	assert.equal(contactOf(this).connectTimeoutMs, ms);
 });
 
 Then('a connection may take between {int} and {int} ms', function (this: ContactsWorld, least: number, most: number) {
-	const {connectMs} = contactOf(this);
+	const {connectTimeoutMs: connectMs} = contactOf(this);
 	assert.ok(connectMs > least && connectMs <= most, String(connectMs));
 });
 
 Then('{string} is doubted for good', function (this: ContactsWorld, id: string) {
-	assert.ok(replicaOf(this, id).isDoubted(this.now + muchLaterMs));
+	assert.ok(replicaOf(this, id).isBackedOff(this.now + muchLaterMs));
 });
 
 Then('{string} is trusted after another connection was tried', async function (this: ContactsWorld, id: string) {
-	await until(() => !replicaOf(this, id).isDoubted(this.now), `${id} is trusted`);
+	await until(() => !replicaOf(this, id).isBackedOff(this.now), `${id} is trusted`);
 	assert.ok(this.dials > 0);
 });
 
--- a/src/gateway/contacts/replica-contacts.ts
+++ b/src/gateway/contacts/replica-reachability.ts
@@ -16,7 +16,7 @@
 export type Dial = (address: string, limitMs: number) => Promise<boolean>;
 
 /** What the contacts need. */
-export type ReplicaContactsParts = {
+export type ReplicaReachabilityParts = {
 	readonly directory: ReplicaDirectory;
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -37,11 +37,11 @@
 const mostTryMs = 1000;
 
 /** What one attempt tells of its replica, and asks about it. */
-export type AttemptContact = {
+export type AttemptReachability = {
 	/** Milliseconds in which a connection is made, unless the replica cannot be reached. */
-	readonly connectMs: number;
+	readonly connectTimeoutMs: number;
 	/** Milliseconds without a byte after which `isReachable` is to be asked. */
-	readonly suspectMs: number;
+	readonly probeAfterMs: number;
 	/** The request was sent on a connection that was made for it within so many milliseconds; on a kept one it tells nothing. */
 	noteConnected(ms: number): void;
 	/** Something has come from the replica. */
@@ -50,15 +50,15 @@
 };
 
 /** See the module's head. */
-export class ReplicaContacts implements Disposable {
-	readonly #parts: ReplicaContactsParts;
+export class ReplicaReachability implements Disposable {
+	readonly #parts: ReplicaReachabilityParts;
 	readonly #connectTimes = new Map<string, ExpectedTime>();
 	readonly #pauses = new Map<GatewayServiceName, ExpectedTime>();
 	readonly #checks = new Map<Replica, Promise<boolean>>();
 	readonly #endings = new Map<Replica, Promise<boolean>>();
 	readonly #tries = new Map<Replica, NodeJS.Timeout>();
 
-	constructor(parts: ReplicaContactsParts) {
+	constructor(parts: ReplicaReachabilityParts) {
 		this.#parts = parts;
 		parts.directory.onChange(({replica, change}) => {
 			if (change === 'left' || change === 'restarted') {
@@ -68,11 +68,11 @@
 	}
 
 	/** What an attempt at a replica needs. */
-	of(replica: Replica): AttemptContact {
+	of(replica: Replica): AttemptReachability {
 		let heardAt: number | undefined;
 		return {
-			connectMs: this.#connectMs(replica),
-			suspectMs: this.#pausesOf(replica).limitMs(suspectBounds),
+			connectTimeoutMs: this.#connectMs(replica),
+			probeAfterMs: this.#pausesOf(replica).limitMs(suspectBounds),
 			noteConnected: ms => {
 				this.#connectTimesOf(replica).observe(ms);
 			},
@@ -128,7 +128,7 @@
 	async #isReachable(replica: Replica): Promise<boolean> {
 		const now = this.#parts.clock.now();
 		const isHeard = now - replica.heardAt < this.#pausesOf(replica).limitMs(suspectBounds) / 2;
-		if (isHeard || now - replica.reachedAt < trustMs) {
+		if (isHeard || now - replica.probeSucceededAt < trustMs) {
 			return true;
 		}
 
@@ -147,7 +147,7 @@
 			replica: replica.record.id, isReachable, silentMs: Math.round(silentMs), limitMs: Math.round(limitMs),
 		});
 		if (isReachable) {
-			replica.reachedAt = clock.now();
+			replica.probeSucceededAt = clock.now();
 		} else {
 			this.noteUnreachable(replica);
 		}
--- a/src/gateway/event-framer.steps.ts
+++ b/src/gateway/event-framer.steps.ts
@@ -6,7 +6,7 @@
 import process from 'node:process';
 import {Then, When} from '@cucumber/cucumber';
 import type {TestWorld} from '../common/testing/test-world.js';
-import {EventFramer, StreamEnd} from './event-framer.js';
+import {EventFramer, EventBoundaryTracker} from './event-framer.js';
 
 /** What came of one stream. */
 type FramedStream = {
@@ -22,12 +22,12 @@
 
 const fedTo = (framer: EventFramer, pieces: readonly string[]): FramedStream => {
 	const passedOn = pieces.map(piece => framer.feed(Buffer.from(piece)).toString());
-	const end = new StreamEnd();
+	const end = new EventBoundaryTracker();
 	pieces.forEach(piece => {
 		end.feed(Buffer.from(piece));
 	});
-	assert.equal(end.isWithinEvent, framer.hasPartOfEvent, JSON.stringify(pieces));
-	return {sent: pieces.join(''), passedOn: passedOn.join('') + framer.rest.toString(), isWithinEvent: framer.hasPartOfEvent};
+	assert.equal(end.isWithinEvent, framer.hasPartialEvent, JSON.stringify(pieces));
+	return {sent: pieces.join(''), passedOn: passedOn.join('') + framer.remainder.toString(), isWithinEvent: framer.hasPartialEvent};
 };
 
 const lineEndOf = (lines: string): string => lines.replaceAll(String.raw`\r`, '\r').replaceAll(String.raw`\n`, '\n');
@@ -67,7 +67,7 @@
 
 When('an event of {int} MB comes in pieces of {int} kB and is {word}', function (this: FramerWorld, megabytes: number, kilobytes: number, passing: 'held' | 'followed') {
 	const piece = Buffer.alloc(kilobytes * 1024, 'a');
-	const taker = passing === 'held' ? new EventFramer(0) : new StreamEnd();
+	const taker = passing === 'held' ? new EventFramer(0) : new EventBoundaryTracker();
 	const before = process.cpuUsage();
 	Array.from({length: megabytes * 1024 / kilobytes}).forEach(() => {
 		taker.feed(piece);
--- a/src/gateway/event-framer.ts
+++ b/src/gateway/event-framer.ts
@@ -52,7 +52,7 @@
 const seamLength = 2;
 
 /** Follows a stream that is passed on as it comes, and keeps a few bytes of it. */
-export class StreamEnd {
+export class EventBoundaryTracker {
 	/** What has come after the last whole event, shortened to what tells how it goes on. */
 	#rest = '';
 
@@ -107,18 +107,18 @@
 	}
 
 	/** What has come after the last whole event. */
-	get rest(): Buffer {
+	get remainder(): Buffer {
 		return Buffer.concat(this.#rest);
 	}
 
 	/** Whether part of an event is held back. Blank lines and comments at the end of a stream are none. */
-	get hasPartOfEvent(): boolean {
-		return fieldPattern.test(this.rest.toString('latin1'));
+	get hasPartialEvent(): boolean {
+		return fieldPattern.test(this.remainder.toString('latin1'));
 	}
 
 	/** Another run goes on. Only its first number shows where, so what comes before that is held back. */
-	beginLaterRun(): void {
-		this.dropRest();
+	startNextRun(): void {
+		this.discardRemainder();
 		this.#isPlaced = this.#lastId === this.#firstId;
 	}
 
@@ -132,7 +132,7 @@
 			return empty;
 		}
 
-		const all = this.#rest.length > 1 ? this.rest : bytes;
+		const all = this.#rest.length > 1 ? this.remainder : bytes;
 		const whole = this.#placed(all.subarray(0, all.length - searched.length + end));
 		this.#keepRest(all.subarray(whole.length));
 		this.#isInOrder &&= this.#follow(whole);
@@ -140,7 +140,7 @@
 	}
 
 	/** Forgets part of an event: its run has ended, and the next begins with the event anew. */
-	dropRest(): void {
+	discardRemainder(): void {
 		this.#keepRest(empty);
 	}
 
--- a/src/gateway/feed-freshness.steps.ts
+++ b/src/gateway/feed-freshness.steps.ts
@@ -47,18 +47,18 @@
 			return world.read();
 		},
 	} as unknown as ObjectFeed,
-	contact: {
-		get awayAt() {
+	reachability: {
+		get lastFailedCallAt() {
 			return world.awayAt;
 		},
 		onAnswer(listener) {
 			world.answers.on('answer', listener);
 		},
 	},
-	freshAt: () => world.freshAt,
+	lastConfirmedAt: () => world.freshAt,
 	clock: clockOf(world),
 	log,
-	mostAgeMs,
+	maxAgeMs: mostAgeMs,
 });
 
 Given('objects that were confirmed just now', function (this: FreshnessWorld) {
@@ -204,5 +204,5 @@
 });
 
 Then('what it knows is {int} ms old', function (this: FreshnessWorld, ms: number) {
-	assert.equal(this.now - this.feed.knownAt, ms);
+	assert.equal(this.now - this.feed.currentAsOf, ms);
 });
--- a/src/gateway/feed-freshness.ts
+++ b/src/gateway/feed-freshness.ts
@@ -5,20 +5,20 @@
 import type {ObjectKind} from '../common/types.js';
 import {TimeLimit} from '../io/time-limit.js';
 import {gatewayEvents} from './log-events.js';
-import type {ObjectApiContact} from './object-api-contact.js';
+import type {ObjectApiReachability} from './object-api-reachability.js';
 import type {ObjectFeed} from './object-feed.js';
 
 /** What the freshness is judged by. */
 export type FeedFreshnessParts = {
 	readonly kind: ObjectKind;
 	readonly feed: ObjectFeed;
-	readonly contact: ObjectApiContact;
+	readonly reachability: ObjectApiReachability;
 	/** When the objects were last confirmed to be current, here or by a peer, in milliseconds on the monotonic clock. */
-	readonly freshAt: () => number;
+	readonly lastConfirmedAt: () => number;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	/** Milliseconds for which objects may be used after they were confirmed. */
-	readonly mostAgeMs: number;
+	readonly maxAgeMs: number;
 };
 
 /** Work waits for a read for this long at most, in milliseconds: most of the usual latency target. */
@@ -35,15 +35,15 @@
 
 	constructor(parts: FeedFreshnessParts) {
 		this.#parts = parts;
-		parts.contact.onAnswer(() => {
+		parts.reachability.onAnswer(() => {
 			this.#retry?.();
 		});
 	}
 
 	/** Whether work may be sent by the objects that are known. Before any is known, there is nothing to wait for. */
 	get isFresh(): boolean {
-		const {feed, contact, freshAt, clock, mostAgeMs} = this.#parts;
-		const judgedAt = Math.max(freshAt(), contact.awayAt ?? -Infinity, this.#triedAt);
+		const {feed, reachability: contact, lastConfirmedAt: freshAt, clock, maxAgeMs: mostAgeMs} = this.#parts;
+		const judgedAt = Math.max(freshAt(), contact.lastFailedCallAt ?? -Infinity, this.#triedAt);
 		return feed.revision === undefined || clock.now() - judgedAt <= mostAgeMs;
 	}
 
@@ -56,7 +56,7 @@
 	}
 
 	async #read() {
-		const {kind, freshAt, clock, log} = this.#parts;
+		const {kind, lastConfirmedAt: freshAt, clock, log} = this.#parts;
 		const askedAt = clock.now();
 		const ageMs = Math.round(askedAt - freshAt());
 		const isKnown = await this.#isReadInTime();
@@ -90,7 +90,7 @@
 			let isReading = false;
 			const read = async () => {
 				isReading = true;
-				const isKnown = await this.#parts.feed.readAnew();
+				const isKnown = await this.#parts.feed.syncOnNewConnection();
 				isReading = false;
 				if (isKnown) {
 					finish(true);
--- a/src/gateway/front-server.ts
+++ b/src/gateway/front-server.ts
@@ -18,7 +18,7 @@
 	AdmittedCaller, Caller, CallerGate, CallHead, GateRefusal,
 } from './accounts/caller-gate.js';
 import type {JobIntake, SubmissionOutcome} from './batch/job-intake.js';
-import type {JobReader, NoAnswer} from './batch/job-reader.js';
+import type {JobReader, JobReadError} from './batch/job-reader.js';
 import type {JobCall, JobCallDialect} from './job-calls.js';
 import type {FeedFreshness} from './feed-freshness.js';
 import {gatewayEvents} from './log-events.js';
@@ -65,7 +65,7 @@
 	foreign: {status: 404},
 };
 
-const noAnswerStatus: Readonly<Record<NoAnswer, number>> = {unknown: 404, unsure: 503};
+const noAnswerStatus: Readonly<Record<JobReadError, number>> = {unknown: 404, unsure: 503};
 
 const answer = (res: ServerResponse, status: number, comeBackMs?: number) => {
 	if (res.headersSent || res.destroyed) {
@@ -146,7 +146,7 @@
 	}
 
 	/** Calls under way. */
-	get size(): number {
+	get activeCalls(): number {
 		return this.#calls.size;
 	}
 
@@ -164,7 +164,7 @@
 	}
 
 	/** Asks each caller to close its connection after its next answer. */
-	announceLeaving(): void {
+	disableKeepAlive(): void {
 		this.#isLeaving = true;
 	}
 
@@ -224,7 +224,7 @@
 		const read = await readBody(req, this.#parts.board.config?.limits.maxBodyBytes ?? defaultBodyBytes);
 		const failure = errorOf(read);
 		if (failure) {
-			caller.credit?.giveBack();
+			caller.credit?.refund();
 			this.#rejectBody(res, failure);
 			return;
 		}
@@ -328,7 +328,7 @@
 		answer(res, status, comeBackMs);
 	}
 
-	#answerNothing(res: ServerResponse, call: JobCall, reason: NoAnswer) {
+	#answerNothing(res: ServerResponse, call: JobCall, reason: JobReadError) {
 		const status = noAnswerStatus[reason];
 		this.#parts.log.emit(gatewayEvents.jobReadFailed, {
 			id: call.job, question: call.kind, status, reason,
--- a/src/gateway/front.ts
+++ b/src/gateway/front.ts
@@ -22,26 +22,26 @@
 import {CallRanks} from './accounts/call-ranks.js';
 import {CallerGate} from './accounts/caller-gate.js';
 import {RateLimits} from './accounts/rate-limits.js';
-import {BatchBook} from './batch/batch-book.js';
+import {JobIndex} from './batch/job-index.js';
 import {BatchRetention} from './batch/batch-retention.js';
-import {BatchRunner, type ItemHeaders} from './batch/batch-runner.js';
+import {BatchRunner, type ItemHeaderBuilder} from './batch/batch-runner.js';
 import {ContentStore} from './batch/content-store.js';
 import {FailedRuns} from './batch/failed-runs.js';
 import {JobClaims} from './batch/job-claims.js';
-import {takeOverMethod, type JobHandover, type JobHandoverAnswer} from './batch/job-leaver.js';
+import {takeOverMethod, type JobHandover, type JobHandoverAnswer} from './batch/job-handover.js';
 import {JobIntake} from './batch/job-intake.js';
 import {JobReader} from './batch/job-reader.js';
 import {ConfigBoard} from './config-board.js';
 import {ConfigController} from './config-controller.js';
-import {ReplicaContacts} from './contacts/replica-contacts.js';
+import {ReplicaReachability} from './contacts/replica-reachability.js';
 import {FeedFreshness} from './feed-freshness.js';
 import {FrontServer} from './front-server.js';
-import {JobHolders} from './keeping/job-holders.js';
+import {KeeperPool} from './keeping/keeper-pool.js';
 import type {JobCallDialect} from './job-calls.js';
 import {LoadBoard} from './load-board.js';
 import {MeteredObjectApi} from './metered-object-api.js';
 import {ObjectFeed, type FeedOptions} from './object-feed.js';
-import {MemberEntry} from './peers/member-entry.js';
+import {MemberRegistrar} from './peers/member-registrar.js';
 import {MemberRegistry} from './peers/member-registry.js';
 import {
 	answerObjectCall, objectCallMethod, ObjectRelay, type ObjectCall,
@@ -58,7 +58,7 @@
 import type {RecordReaders} from './record-readers.js';
 import {RegistrationController} from './registration-controller.js';
 import {ReplicaDirectory} from './replica-directory.js';
-import {ReplicaLinks} from './replica-links.js';
+import {ReplicaConnectionPools} from './replica-connection-pools.js';
 import {ServiceTimes} from './service-times.js';
 import type {FrontSettings} from './settings.js';
 import type {CallDialect, MemberName} from './types.js';
@@ -69,7 +69,7 @@
 	readonly records: RecordReaders;
 	readonly dialect: CallDialect;
 	readonly jobCalls: JobCallDialect;
-	readonly itemHeaders: ItemHeaders;
+	readonly itemHeaders: ItemHeaderBuilder;
 };
 
 /** What the frame of the programs brings. */
@@ -126,7 +126,7 @@
 	return {
 		GatewayConfig: {waitMs: checkedWaitMs, mayLag: false},
 		Registration: {
-			waitMs: checkedWaitMs, mayLag: false, paceMs: registrationPaceMs, mostPaceMs: mostRegistrationPaceMs,
+			waitMs: checkedWaitMs, mayLag: false, paceMs: registrationPaceMs, maxPaceMs: mostRegistrationPaceMs,
 		},
 		BatchRecord: {waitMs, mayLag: true, paceMs: recordPaceMs},
 		Member: {waitMs: 4 * waitMs, mayLag: true},
@@ -157,10 +157,10 @@
 	readonly #announcer: PeerAnnouncer;
 	readonly #checks: SharedChecks;
 	readonly #registry: MemberRegistry;
-	readonly #entry: MemberEntry;
-	readonly #links: ReplicaLinks;
+	readonly #entry: MemberRegistrar;
+	readonly #connectionPools: ReplicaConnectionPools;
 	readonly #peers: PeerTable;
-	readonly #book: BatchBook;
+	readonly #jobIndex: JobIndex;
 	readonly #runner: BatchRunner;
 	readonly #retention: BatchRetention;
 	readonly #quarantine: Quarantine;
@@ -189,13 +189,13 @@
 		this.#peers = peers;
 		const failedRuns = new FailedRuns({self, clock});
 		const rateLimits = new RateLimits({
-			clock, log, tolerance: settings.rateLimitTolerance, registered: () => this.#registry.addresses.length, livePeers: () => peers.names,
+			clock, log, tolerance: settings.rateLimitTolerance, registeredCount: () => this.#registry.addresses.length, livePeers: () => peers.names,
 		});
 		const http = new HttpClient();
 		const rpc = new RpcClient(http);
 		const direct = new MeteredObjectApi(adapter.api, metrics, clock);
 		const api = new ObjectRelay({
-			direct, rpc, clock, random, log, helpers: () => peers.live.filter(({state}) => state.reachesObjectApi).map(({state}) => state.rpcAddress),
+			direct, rpc, clock, random, log, peerAddresses: () => peers.live.filter(({state}) => state.reachesObjectApi).map(({state}) => state.rpcAddress),
 		});
 		this.#rpcServer = peerServer({
 			[objectCallMethod]: async (call: ObjectCall) => answerObjectCall(direct, call),
@@ -204,7 +204,7 @@
 		const options = feedOptions(settings);
 		const progress = new ReadProgress(clock);
 		const feedOf = (kind: keyof typeof options) => new ObjectFeed({
-			api, contact: api, clock, log, progress,
+			api, reachability: api, clock, log, progress,
 		}, kind, options[kind]);
 		const isLeaving = () => this.#lifecycle.isLeaving;
 
@@ -220,49 +220,49 @@
 			board, feed: configFeed, records, log,
 		});
 		peers.onState(state => {
-			failedRuns.take(state.failedRuns ?? []);
-			rateLimits.take(state, account => board.rateLimit(account));
+			failedRuns.addReceived(state.failedRuns ?? []);
+			rateLimits.receiveUsage(state, account => board.rateLimit(account));
 		});
 		const registrations = new RegistrationController({
 			directory, feed: replicaFeed, records, clock, log, drainMs: settings.drainMs,
 		});
 		this.#channel = new DatagramChannel({
 			[peerStateMethod](state: PeerState) {
-				peers.take(state);
+				peers.receive(state);
 			},
 		});
 		this.#registry = new MemberRegistry(memberFeed, clock);
-		this.#entry = new MemberEntry({
+		this.#entry = new MemberRegistrar({
 			self, api, clock, log,
 		});
 		const freshnessOf = (kind: 'GatewayConfig' | 'Registration', feed: ObjectFeed, changeMs: number) => new FeedFreshness({
-			kind, feed, contact: api, clock, log, freshAt: () => this.#checks.freshAt(kind), mostAgeMs: mostAgeMs(settings, changeMs),
+			kind, feed, reachability: api, clock, log, lastConfirmedAt: () => this.#checks.lastConfirmedAt(kind), maxAgeMs: mostAgeMs(settings, changeMs),
 		});
 		const replicaFreshness = freshnessOf('Registration', replicaFeed, settings.drainMs);
-		const sharers = () => peers.sharers;
-		this.#links = new ReplicaLinks({
-			board, directory, clock, sharers,
+		const processCount = () => peers.processCount;
+		this.#connectionPools = new ReplicaConnectionPools({
+			board, directory, clock, processCount,
 		});
-		const contacts = new ReplicaContacts({
+		const contacts = new ReplicaReachability({
 			directory, clock, log, dial,
 		});
 		const contents = new ContentStore(api);
-		const book = new BatchBook(recordFeed);
-		this.#book = book;
+		const jobIndex = new JobIndex(recordFeed);
+		this.#jobIndex = jobIndex;
 		const claims = new JobClaims({
-			self, book, peers, clock, log, isLeaving, membersKnownAt: () => this.#registry.knownAt,
+			self, jobIndex, peers, clock, log, isLeaving, membersFirstLoadedAt: () => this.#registry.firstLoadedAt,
 		});
 		this.#runner = new BatchRunner({
-			self, api, feed: recordFeed, book, contents, peers, rpc, claims, failedRuns, board, directory, replicaFreshness, loads, links: this.#links, contacts, quarantine, dialect, itemHeaders, clock, random, log, metrics, failureDomain,
+			self, api, feed: recordFeed, jobIndex, contents, peers, rpc, claims, failedRuns, board, directory, replicaFreshness, loads, connectionPools: this.#connectionPools, reachability: contacts, quarantine, dialect, itemHeaders, clock, random, log, metrics, failureDomain,
 		});
 		this.#retention = new BatchRetention({
-			self, api, book, peers, clock, log, keptMs: settings.resultsKeptMs,
+			self, api, jobIndex, peers, clock, log, resultRetentionMs: settings.resultsKeptMs,
 		});
 		this.#quarantineRecords = new QuarantineRecords({
 			self, quarantine, feed: quarantineFeed, api, peers, clock, log,
 		});
 		this.#announcer = new PeerAnnouncer({
-			self, channel: this.#channel, peers, directory, loads, quarantine, failedRuns, rateLimits, checks: () => this.#checks.news(), clock, isLeaving, memberAddresses: () => this.#registry.addresses, claimedJobs: () => claims.claimed, waitingItems: () => this.#runner.waiting, rpcAddress: () => this.#rpcServer.address, reachesObjectApi: () => api.isDirect,
+			self, channel: this.#channel, peers, directory, loads, quarantine, failedRuns, rateLimits, checks: () => this.#checks.announcement(), clock, isLeaving, memberAddresses: () => this.#registry.addresses, claimedJobs: () => claims.claimed, waitingItems: () => this.#runner.waiting, rpcAddress: () => this.#rpcServer.address, reachesObjectApi: () => api.isDirect,
 		});
 		this.#checks = new SharedChecks({
 			self,
@@ -270,8 +270,8 @@
 			clock,
 			progress,
 			feeds: [
-				{kind: 'GatewayConfig', feed: configFeed, everyMs: checkMs(settings, settings.configMs)},
-				{kind: 'Registration', feed: replicaFeed, everyMs: checkMs(settings, settings.drainMs)},
+				{kind: 'GatewayConfig', feed: configFeed, intervalMs: checkMs(settings, settings.configMs)},
+				{kind: 'Registration', feed: replicaFeed, intervalMs: checkMs(settings, settings.drainMs)},
 			],
 			announce: () => {
 				this.#announcer.announceSoon();
@@ -281,23 +281,23 @@
 			lifecycle: this.#lifecycle, board, directory, log,
 		});
 		this.#server = new FrontServer({
-			board, directory, replicaFreshness, configFreshness: freshnessOf('GatewayConfig', configFeed, settings.configMs), loads, links: this.#links, contacts, quarantine, serviceTimes: new ServiceTimes(), ranks: new CallRanks(clock), dialect, clock, random, log, metrics, sharers, failureDomain, jobCalls,
+			board, directory, replicaFreshness, configFreshness: freshnessOf('GatewayConfig', configFeed, settings.configMs), loads, connectionPools: this.#connectionPools, reachability: contacts, quarantine, serviceTimes: new ServiceTimes(), ranks: new CallRanks(clock), dialect, clock, random, log, metrics, processCount, failureDomain, jobCalls,
 			gate: new CallerGate({
-				board, dialect, limits: rateLimits, clock, log, metrics, configHeardAt: () => this.#checks.freshAt('GatewayConfig'), staleAfterMs: settings.refuseKeysAfterMs,
+				board, dialect, limits: rateLimits, clock, log, metrics, configConfirmedAt: () => this.#checks.lastConfirmedAt('GatewayConfig'), staleAfterMs: settings.refuseKeysAfterMs,
 			}),
 			intake: new JobIntake({
 				api,
 				feed: recordFeed,
-				book,
+				jobIndex,
 				contents,
 				clock,
 				log,
 				metrics,
-				sharers,
-				holders: new JobHolders({rpc, keepers: () => this.#registry.keeperAddresses, toleratedLosses: settings.toleratedLosses}),
+				processCount,
+				keeperPool: new KeeperPool({rpc, keeperAddresses: () => this.#registry.keeperAddresses, toleratedLosses: settings.toleratedLosses}),
 			}),
 			reader: new JobReader({
-				api, feed: recordFeed, book, contents, clock, log,
+				api, feed: recordFeed, jobIndex, contents, clock, log,
 			}),
 		});
 		this.#readyServer = createServer((req, res) => {
@@ -305,7 +305,7 @@
 			res.writeHead(this.#readiness.isReady ? 200 : 503, {'content-length': '0'});
 			res.end();
 		});
-		this.#owned = [this.#retention, this.#quarantineRecords, this.#runner, this.#announcer, this.#entry, registrations, this.#checks, progress, ...this.#feeds, contacts, this.#links, this.#server, this.#channel, this.#rpcServer, api, http, this.#metrics, this.#lifecycle];
+		this.#owned = [this.#retention, this.#quarantineRecords, this.#runner, this.#announcer, this.#entry, registrations, this.#checks, progress, ...this.#feeds, contacts, this.#connectionPools, this.#server, this.#channel, this.#rpcServer, api, http, this.#metrics, this.#lifecycle];
 	}
 
 	get addresses(): Readonly<Record<string, string>> {
@@ -340,7 +340,7 @@
 		this.#runner.start();
 		this.#retention.start();
 		this.#quarantineRecords.start();
-		void this.#entry.enter({address: this.#channel.address, role: 'front'});
+		void this.#entry.register({address: this.#channel.address, role: 'front'});
 		this.#lifecycle.send('started');
 		return Right(this);
 	}
@@ -349,7 +349,7 @@
 	async drain(): Promise<void> {
 		const startedAt = this.#clock.now();
 		this.#lifecycle.send('drain');
-		this.#server.announceLeaving();
+		this.#server.disableKeepAlive();
 		this.#announcer.announceSoon();
 		const handedOver = this.#runner.handOver().then(() => {
 			this.#announcer.announceSoon();
@@ -371,15 +371,15 @@
 	#measure() {
 		const metrics = this.#metrics;
 		const now = this.#clock.now();
-		metrics.gauge('gateway.callsUnderWay', this.#server.size);
+		metrics.gauge('gateway.callsUnderWay', this.#server.activeCalls);
 		metrics.gauge('gateway.places', this.#loads.online, {kind: 'online'});
 		metrics.gauge('gateway.places', this.#loads.batch, {kind: 'batch'});
 		metrics.gauge('gateway.peers', this.#peers.live.length);
 		metrics.gauge('gateway.replicas', this.#directory.size);
-		metrics.gauge('gateway.connectionsMade', this.#links.made);
+		metrics.gauge('gateway.connectionsMade', this.#connectionPools.createdCount);
 		metrics.gauge('gateway.configVersion', this.#board.config?.version ?? 0);
 		metrics.gauge('gateway.quarantined', this.#quarantine.held.length);
-		metrics.gauge('gateway.openJobs', this.#book.openJobs.length);
+		metrics.gauge('gateway.openJobs', this.#jobIndex.openJobs.length);
 		const ages = this.#feeds.map(feed => now - feed.heardAt);
 		metrics.gauge('gateway.objectApiSilenceMs', Math.max(...ages));
 		metrics.gauge('log.linesDropped', this.#droppedLines());
--- a/src/gateway/gateway-tables.steps.ts
+++ b/src/gateway/gateway-tables.steps.ts
@@ -14,7 +14,7 @@
 import {DatagramChannel} from '../io/datagram-channel.js';
 import {SystemClock} from '../io/system-clock.js';
 import {RateLimits} from './accounts/rate-limits.js';
-import {BatchBook} from './batch/batch-book.js';
+import {JobIndex} from './batch/job-index.js';
 import {
 	recordNames, type JobRecord, type PageRecord,
 } from './batch/batch-records.js';
@@ -28,7 +28,7 @@
 import {Quarantine} from './quarantine/quarantine.js';
 import {RegistrationController} from './registration-controller.js';
 import {ReplicaDirectory} from './replica-directory.js';
-import {knownReplicas, registrationOf, replicaRecords} from './testing/registrations.js';
+import {registeredReplicas, registrationOf, replicaRecords} from './testing/registrations.js';
 import type {
 	BatchItemId, BatchJobId, GatewayConfig, MemberName, ReplicaId, ReplicaRecord,
 } from './types.js';
@@ -36,7 +36,7 @@
 type TablesWorld = TestWorld & {
 	api: FakeObjectApi;
 	limit: number;
-	book: BatchBook;
+	jobIndex: JobIndex;
 	board: ConfigBoard;
 	directory: ReplicaDirectory;
 	removed: string[];
@@ -63,20 +63,20 @@
 	return api.create('BatchRecord', recordNames.page(page.job, number), page);
 };
 
-const admitted = (book: BatchBook): string[] => [...book.all].filter(({isAdmitted}) => isAdmitted).map(({id}) => id as string);
+const admitted = (jobIndex: JobIndex): string[] => [...jobIndex.all].filter(({isAdmitted}) => isAdmitted).map(({id}) => id as string);
 
-const followed = (world: TablesWorld): BatchBook => {
+const followed = (world: TablesWorld): JobIndex => {
 	const feed = feedOf(world, 'BatchRecord');
-	const book = new BatchBook(feed);
+	const jobIndex = new JobIndex(feed);
 	feed.start();
-	return book;
+	return jobIndex;
 };
 
 Given('a limit of {int} tokens', function (this: TablesWorld, limit: number) {
 	this.api = new FakeObjectApi();
 	this.limit = limit;
 	// This process is there from the first record on and sees each by itself.
-	this.book = followed(this);
+	this.jobIndex = followed(this);
 });
 
 Given('jobs {string} of {int} tokens each are written', async function (this: TablesWorld, names: string, tokens: number) {
@@ -100,7 +100,7 @@
 });
 
 Given('a process follows the records', async function (this: TablesWorld) {
-	await until(() => this.book.isKnown, 'the records are known');
+	await until(() => this.jobIndex.isKnown, 'the records are known');
 });
 
 When('the object API discards its history while the process is away', async function (this: TablesWorld) {
@@ -111,14 +111,14 @@
 });
 
 Then('a process that lists the records admits {string}', async function (this: TablesWorld, names: string) {
-	const book = followed(this);
-	await until(() => book.isKnown, 'the records are known');
-	assert.deepEqual(admitted(book), listOf(names));
+	const jobIndex = followed(this);
+	await until(() => jobIndex.isKnown, 'the records are known');
+	assert.deepEqual(admitted(jobIndex), listOf(names));
 });
 
-const followerAdmits = async ({book}: TablesWorld, names: string) => {
-	await until(() => admitted(book).length >= listOf(names).length, `${names} are admitted`);
-	assert.deepEqual(admitted(book), listOf(names));
+const followerAdmits = async ({jobIndex}: TablesWorld, names: string) => {
+	await until(() => admitted(jobIndex).length >= listOf(names).length, `${names} are admitted`);
+	assert.deepEqual(admitted(jobIndex), listOf(names));
 };
 
 Then('a process that follows the records admits {string}', async function (this: TablesWorld, names: string) {
@@ -130,8 +130,8 @@
 });
 
 Then('a process that follows the records knows {int} result(s) of {string}', async function (this: TablesWorld, count: number, job: string) {
-	await until(() => this.book.job(jobId(job))?.pages === 2, 'both pages have come');
-	assert.equal(this.book.job(jobId(job))?.results.length, count);
+	await until(() => this.jobIndex.job(jobId(job))?.pageCount === 2, 'both pages have come');
+	assert.equal(this.jobIndex.job(jobId(job))?.results.length, count);
 });
 
 const configOf = (version: number): GatewayConfig => ({
@@ -142,11 +142,11 @@
 
 Given('the configuration of version {int} is in force', function (this: TablesWorld, version: number) {
 	this.board = new ConfigBoard();
-	assert.ok(this.board.offer(configOf(version)));
+	assert.ok(this.board.applyIfNewer(configOf(version)));
 });
 
 When('a copy that lags brings version {int}', function (this: TablesWorld, version: number) {
-	assert.equal(this.board.offer(configOf(version)), false);
+	assert.equal(this.board.applyIfNewer(configOf(version)), false);
 });
 
 Then('version {int} is still in force', function (this: TablesWorld, version: number) {
@@ -208,19 +208,19 @@
 });
 
 Then('the front still knows replicas {string}', function (this: TablesWorld, names: string) {
-	assert.deepEqual(knownReplicas(this.directory), listOf(names));
+	assert.deepEqual(registeredReplicas(this.directory), listOf(names));
 });
 
 Then('the front soon knows replicas {string}', async function (this: TablesWorld, names: string) {
-	await until(() => knownReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
 });
 
 Then('{int} seconds later the front knows replicas {string}', async function (this: TablesWorld, _seconds: number, names: string) {
-	await until(() => knownReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
 });
 
 When('the time for which results are kept is over', async function (this: TablesWorld) {
-	await until(() => admitted(this.book).length === 2, 'both jobs are known');
+	await until(() => admitted(this.jobIndex).length === 2, 'both jobs are known');
 	this.removed = [];
 	this.api.beforeCall = (call, _kind, name) => {
 		if (call === 'remove') {
@@ -232,12 +232,12 @@
 	const loads = new LoadBoard();
 	const directory = new ReplicaDirectory();
 	const retention = this.register(new BatchRetention({
-		self, api: this.api, book: this.book, clock, log, keptMs: 0, peers: new PeerTable({
+		self, api: this.api, jobIndex: this.jobIndex, clock, log, resultRetentionMs: 0, peers: new PeerTable({
 			self, directory, loads, quarantine: new Quarantine({clock, log}), clock, log,
 		}),
 	}));
-	await until(() => this.book.job(jobId('a'))?.isOpen === false, 'all results of a are known');
-	await retention.removeOld();
+	await until(() => this.jobIndex.job(jobId('a'))?.isOpen === false, 'all results of a are known');
+	await retention.removeExpired();
 });
 
 Then('only records of {string} are left', function (this: TablesWorld, job: string) {
@@ -259,13 +259,13 @@
 	const channel = this.register(new DatagramChannel({}));
 	await channel.listen('127.0.0.1:0');
 	const rateLimits = new RateLimits({
-		clock, log, tolerance: 0, registered: () => 2, livePeers: () => this.peers.names,
+		clock, log, tolerance: 0, registeredCount: () => 2, livePeers: () => this.peers.names,
 	});
 	const announcer = this.register(new PeerAnnouncer({
 		self: branded<MemberName>('front-1'), channel, peers: this.peers, directory: this.directory, loads: this.loads, quarantine, failedRuns: new FailedRuns({self: branded<MemberName>('front-1'), clock}), rateLimits, checks: () => undefined, clock, memberAddresses: () => [], claimedJobs: () => [], waitingItems: () => [], isLeaving: () => false, rpcAddress: () => '127.0.0.1:1', reachesObjectApi: () => true,
 	}));
 	announcer.start();
-	this.peers.take({
+	this.peers.receive({
 		member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [{replica: branded<ReplicaId>(replica), online, batch: 0}], jobs: [],
 	});
 	assert.equal(this.directory.get(branded<ReplicaId>(replica))?.allOnline, online);
@@ -275,7 +275,7 @@
 	const [replica] = this.directory.all;
 	const longEnough = clock.now() + 1600;
 	while (clock.now() < longEnough) {
-		this.loads.take(replica!, 'online')();
+		this.loads.acquireSlot(replica!, 'online')();
 		await new Promise(resolve => {
 			setTimeout(resolve, 10);
 		});
@@ -297,21 +297,21 @@
 	this.peers = new PeerTable({
 		self: branded<MemberName>('front-1'), directory: new ReplicaDirectory(), loads: new LoadBoard(), quarantine: new Quarantine({clock: this.manual, log}), clock: this.manual, log,
 	});
-	this.peers.dropSilent();
-	this.peers.take({
+	this.peers.removeUnresponsive();
+	this.peers.receive({
 		member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [],
 	});
 });
 
 When('its process is paused for {int} ms', function (this: PausedWorld, ms: number) {
 	this.manual.advance(ms);
-	this.peers.dropSilent();
+	this.peers.removeUnresponsive();
 });
 
 When('it hears nothing more for {int} ms', function (this: PausedWorld, ms: number) {
 	Array.from({length: ms / lookMs}).forEach(() => {
 		this.manual.advance(lookMs);
-		this.peers.dropSilent();
+		this.peers.removeUnresponsive();
 	});
 });
 
--- a/src/gateway/keeper.ts
+++ b/src/gateway/keeper.ts
@@ -18,7 +18,7 @@
 import {JobJournal} from './keeping/job-journal.js';
 import {gatewayEvents} from './log-events.js';
 import {ObjectFeed} from './object-feed.js';
-import {MemberEntry} from './peers/member-entry.js';
+import {MemberRegistrar} from './peers/member-registrar.js';
 import {peerServer} from './peers/peer-server.js';
 import type {RecordReaders} from './record-readers.js';
 import type {KeeperSettings} from './settings.js';
@@ -45,7 +45,7 @@
 	readonly #lifecycle = new NodeLifecycle();
 	readonly #metrics = new PrometheusMetrics();
 	readonly #feed: ObjectFeed;
-	readonly #entry: MemberEntry;
+	readonly #entry: MemberRegistrar;
 	readonly #held: HeldJobs;
 	readonly #server: HttpServer;
 	readonly #owned: readonly Disposable[];
@@ -57,7 +57,7 @@
 		this.#parts = parts;
 		const {api, clock, log} = parts;
 		this.#feed = new ObjectFeed(parts, 'Retirement', {waitMs: watchMs, mayLag: true});
-		this.#entry = new MemberEntry({
+		this.#entry = new MemberRegistrar({
 			self: branded<MemberName>(settings.name), api, clock, log,
 		});
 		this.#held = new HeldJobs({
@@ -103,7 +103,7 @@
 
 		await this.#held.start();
 		this.#feed.start();
-		void this.#entry.enter({address: this.#server.address, role: 'keeper'});
+		void this.#entry.register({address: this.#server.address, role: 'keeper'});
 		this.#lifecycle.send('started');
 		return Right(this);
 	}
--- a/src/gateway/keeping/held-jobs.ts
+++ b/src/gateway/keeping/held-jobs.ts
@@ -60,7 +60,7 @@
 		const written = await journal.hold(job);
 		return written.caseOf<HoldAnswer>({
 			Left({isGone, reason}) {
-				log.emit(gatewayEvents.jobNotHeld, {id, isGone, reason});
+				log.emit(gatewayEvents.jobHoldFailed, {id, isGone, reason});
 				return isGone ? 'refused' : 'uncertain';
 			},
 			Right: () => {
@@ -160,7 +160,7 @@
 		const {record} = job;
 		await journal.drop(job).catch((err: unknown) => {
 			// It will be written once more after a restart, and found to stand there.
-			log.emit(gatewayEvents.jobNotDropped, {id: record.job, reason: String(err)});
+			log.emit(gatewayEvents.heldJobRemovalFailed, {id: record.job, reason: String(err)});
 		});
 		this.#jobs.delete(record.content);
 		this.#blockedSince.delete(record.content);
--- a/src/gateway/keeping/job-holders.ts
+++ b/src/gateway/keeping/keeper-pool.ts
@@ -8,10 +8,10 @@
 export type HoldOutcome = 'held' | 'partly' | 'none';
 
 /** What asking needs. */
-export type JobHoldersParts = {
+export type KeeperPoolParts = {
 	readonly rpc: RpcClient;
 	/** Where keepers take calls, as `ip:port`. */
-	readonly keepers: () => readonly string[];
+	readonly keeperAddresses: () => readonly string[];
 	/** Disks that may be lost at once. */
 	readonly toleratedLosses: number;
 };
@@ -23,16 +23,16 @@
 const spareKeepers = 3;
 
 /** See the module's head. */
-export class JobHolders {
-	readonly #parts: JobHoldersParts;
+export class KeeperPool {
+	readonly #parts: KeeperPoolParts;
 
-	constructor(parts: JobHoldersParts) {
+	constructor(parts: KeeperPoolParts) {
 		this.#parts = parts;
 	}
 
 	/** Whether there are enough keepers to ask. */
-	get areEnough(): boolean {
-		return this.#parts.keepers().length >= this.#copies;
+	get isSufficient(): boolean {
+		return this.#parts.keeperAddresses().length >= this.#copies;
 	}
 
 	get #copies(): number {
@@ -41,7 +41,7 @@
 
 	/** Resolves as soon as enough keepers have the job. */
 	async hold(job: HeldJob): Promise<HoldOutcome> {
-		const {keepers, rpc} = this.#parts;
+		const {keeperAddresses: keepers, rpc} = this.#parts;
 		const asked = keepers().slice(0, this.#copies + spareKeepers);
 		let held = 0;
 		let doubtful = 0;
--- a/src/gateway/load-board.ts
+++ b/src/gateway/load-board.ts
@@ -28,7 +28,7 @@
 
 	@returns Gives it back; a second call changes nothing.
 	*/
-	take(replica: Replica, kind: LoadKind): () => void {
+	acquireSlot(replica: Replica, kind: LoadKind): () => void {
 		this.#add(replica, kind, 1);
 		let isTaken = true;
 		return () => {
@@ -40,12 +40,12 @@
 	}
 
 	/** A peer's count at a replica has changed. */
-	notePeerChange(replica: Replica): void {
+	notifyPeerChange(replica: Replica): void {
 		this.#events.emit('peers', replica);
 	}
 
 	/** Calls the listener when this process's own count at a replica has changed. */
-	onOwnChange(listener: (replica: Replica) => void): void {
+	onLocalChange(listener: (replica: Replica) => void): void {
 		this.#events.on('own', listener);
 	}
 
--- a/src/gateway/log-events.ts
+++ b/src/gateway/log-events.ts
@@ -19,7 +19,7 @@
 	/** Fields: account, version, reason. */
 	accountUnreadable: {number: 706, level: 'error', text: 'client account can not be read, or shares a key; its calls are refused'},
 	/** Fields: id, replica, status and contentType (of this run's own answer; 0 without one), isFramed, resumeAfter, lastEventId (the caller's by now), outcome. */
-	laterRunEnded: {number: 707, level: 'info', text: 'a run after the first one of a call ended'},
+	rerunEnded: {number: 707, level: 'info', text: 'a run after the first one of a call ended'},
 	/** Fields: version, routes, services, accounts. */
 	configInForce: {number: 710, level: 'info', text: 'configuration in force'},
 	/** Fields: name, reason. */
@@ -33,15 +33,15 @@
 	/** Fields: replica. */
 	replicaReachable: {number: 739, level: 'info', text: 'replica can be reached again'},
 	/** Fields: replica, content (what it was running; one line for each request). */
-	replicaEnded: {number: 740, level: 'warn', text: 'a connection broke within a request and the replica takes none any more, so it has ended'},
+	replicaTerminated: {number: 740, level: 'warn', text: 'a connection broke within a request and the replica takes none any more, so it has ended'},
 	/** Fields: content, crashes, heldMs. */
-	contentHeld: {number: 741, level: 'warn', text: 'a request has ended the replicas that ran it and is held back'},
+	contentQuarantined: {number: 741, level: 'warn', text: 'a request has ended the replicas that ran it and is held back'},
 	/** Fields: content, reason. */
 	contentReleased: {number: 742, level: 'info', text: 'a request is no longer held back'},
 	/** Fields: content, reason. */
-	quarantineNotKept: {number: 743, level: 'warn', text: 'what is held back could not be written, read or removed; it is tried again'},
+	quarantineSyncFailed: {number: 743, level: 'warn', text: 'what is held back could not be written, read or removed; it is tried again'},
 	/** Fields: replica, graceMs. */
-	replicaMissed: {number: 713, level: 'info', text: 'registration missing after an outage, kept for now'},
+	registrationMissing: {number: 713, level: 'info', text: 'registration missing after an outage, kept for now'},
 	/** Fields: kind, reason. */
 	feedLost: {number: 714, level: 'warn', text: 'object API does not answer, what is known is kept'},
 	/** Fields: kind, revision, awayMs, lateMs (since it has answered any call of this process again). */
@@ -49,17 +49,17 @@
 	/** Fields: kind, ageMs (since what is known was confirmed), isKnown (whether it was read in time), waitedMs. */
 	feedRefreshed: {number: 744, level: 'info', text: 'objects were too old to send work by, and were read again'},
 	/** Fields: reason, peers (that can help). */
-	objectApiByPeers: {number: 731, level: 'warn', text: 'object API does not answer here, calls go by way of peers'},
+	objectApiRelayed: {number: 731, level: 'warn', text: 'object API does not answer here, calls go by way of peers'},
 	/** No fields. */
 	objectApiDirect: {number: 732, level: 'info', text: 'object API answers here again'},
 	/** Fields: peer, address. */
 	peerJoined: {number: 716, level: 'info', text: 'peer heard'},
 	/** Fields: peer, silentMs. */
-	peerSilent: {number: 717, level: 'warn', text: 'peer is silent, its jobs are open to others'},
+	peerUnresponsive: {number: 717, level: 'warn', text: 'peer is silent, its jobs are open to others'},
 	/** Fields: ready, reason. */
 	readinessChanged: {number: 718, level: 'info', text: 'readiness changed'},
 	/** Fields: member, reason. */
-	memberNotWritten: {number: 719, level: 'warn', text: 'own address could not be written for peers to find'},
+	memberWriteFailed: {number: 719, level: 'warn', text: 'own address could not be written for peers to find'},
 	/** Fields: id, route, items, tokens, waitingTokens, cap, outcome, isHeld, elapsedMs. */
 	jobSubmitted: {number: 720, level: 'info', text: 'batch job submitted'},
 	/** Fields: id, outcome. */
@@ -83,13 +83,13 @@
 	/** Fields: id, items. */
 	jobHeld: {number: 733, level: 'info', text: 'batch job held on disk until the object API takes it'},
 	/** Fields: id, isGone, reason. */
-	jobNotHeld: {number: 734, level: 'error', text: 'batch job could not be held on disk'},
+	jobHoldFailed: {number: 734, level: 'error', text: 'batch job could not be held on disk'},
 	/** Fields: id, reason. */
-	jobNotDropped: {number: 736, level: 'error', text: 'file of a batch job that stands in the object API could not be removed'},
+	heldJobRemovalFailed: {number: 736, level: 'error', text: 'file of a batch job that stands in the object API could not be removed'},
 	/** Fields: id. */
 	heldJobWritten: {number: 735, level: 'info', text: 'held batch job stands in the object API'},
 	/** Fields: name, outcome. */
 	retirementAnswered: {number: 730, level: 'info', text: 'storage VM may be taken away'},
 	/** Fields: reason. */
-	handlerBroken: {number: 790, level: 'error', text: 'the handler of a peer\'s call broke an invariant'},
+	handlerFailed: {number: 790, level: 'error', text: 'the handler of a peer\'s call broke an invariant'},
 } as const satisfies Record<string, EventDefinition>;
--- a/src/gateway/object-api-contact.ts
+++ b/src/gateway/object-api-reachability.ts
@@ -13,9 +13,9 @@
 };
 
 /** See the module's head. */
-export type ObjectApiContact = {
+export type ObjectApiReachability = {
 	/** While the object API does not answer: when the last call to it began that has failed, in milliseconds on the monotonic clock. `undefined` while it answers. */
-	readonly awayAt: number | undefined;
+	readonly lastFailedCallAt: number | undefined;
 	/** Calls the listener with each answer. */
 	onAnswer(listener: (answer: ObjectApiAnswer) => void): void;
 };
--- a/src/gateway/object-feed.ts
+++ b/src/gateway/object-feed.ts
@@ -12,14 +12,14 @@
 	ApiError, ObjectKind, ReadOptions, StoredObject, WatchBatch, WatchEvent,
 } from '../common/types.js';
 import {gatewayEvents} from './log-events.js';
-import type {ObjectApiAnswer, ObjectApiContact} from './object-api-contact.js';
+import type {ObjectApiAnswer, ObjectApiReachability} from './object-api-reachability.js';
 import type {ReadProgress} from './read-progress.js';
 
 /** What a feed needs. */
 export type FeedParts = {
 	readonly api: ObjectApi;
 	/** Answers to all calls of this process; without it, a feed knows of those to its own only. */
-	readonly contact?: ObjectApiContact;
+	readonly reachability?: ObjectApiReachability;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	/** Tells when a watch was answered at the earliest; without it, that is when it was asked. */
@@ -35,7 +35,7 @@
 	/** Milliseconds to wait after changes before the next watch, so that many changes come with one call; 0 by default. */
 	readonly paceMs?: number;
 	/** While changes go on, as when a fleet starts, the pause grows to this, in milliseconds; it does not by default. */
-	readonly mostPaceMs?: number;
+	readonly maxPaceMs?: number;
 };
 
 /** After a failed call, milliseconds until the next: an outage of the object API must not be prolonged by those who wait for its end, and a change must be in force within about two seconds of it. */
@@ -82,7 +82,7 @@
 		this.#parts = parts;
 		this.#kind = kind;
 		this.#options = options;
-		parts.contact?.onAnswer(answer => {
+		parts.reachability?.onAnswer(answer => {
 			this.#noteContact(answer);
 		});
 	}
@@ -98,17 +98,17 @@
 	}
 
 	/** Whether a watch waits for a change; otherwise the next call is about to be made. */
-	get isFollowing(): boolean {
+	get isWatching(): boolean {
 		return this.#isWaiting;
 	}
 
 	/** Whether the last call failed, and none has succeeded since. */
-	get isAway(): boolean {
+	get isUnreachable(): boolean {
 		return this.#lostAt !== undefined;
 	}
 
 	/** When the last outage ended, in milliseconds on the monotonic clock: with the first answer to any call of this process, which may be earlier than this feed's own. `undefined` until this feed is answered. */
-	get regainedAt(): number | undefined {
+	get outageEndedAt(): number | undefined {
 		return this.#lostAt === undefined ? this.#regainedAt : undefined;
 	}
 
@@ -123,7 +123,7 @@
 	}
 
 	/** What had changed by then is known, in milliseconds on the monotonic clock. An answer that was read late, after a pause of this process, does not count as of then. */
-	get knownAt(): number {
+	get currentAsOf(): number {
 		return this.#knownAt;
 	}
 
@@ -143,7 +143,7 @@
 	}
 
 	/** Calls the listener with the time of each answer, in milliseconds on the monotonic clock; also of those that bring nothing new. */
-	onHeard(listener: (at: number) => void): void {
+	onAnswer(listener: (at: number) => void): void {
 		this.#events.on('heard', listener);
 	}
 
@@ -167,7 +167,7 @@
 
 	@returns Whether all is known that had changed when this was called.
 	*/
-	async readAnew(): Promise<boolean> {
+	async syncOnNewConnection(): Promise<boolean> {
 		return this.#readOnce({isFresh: true});
 	}
 
@@ -177,7 +177,7 @@
 	@param isThere - Whether they have come.
 	@returns Whether they have.
 	*/
-	async bring(isThere: () => boolean): Promise<boolean> {
+	async ensureLoaded(isThere: () => boolean): Promise<boolean> {
 		if (!isThere()) {
 			await Promise.race([this.sync(), this.#parts.clock.sleep(syncPatienceMs)]);
 		}
@@ -228,7 +228,7 @@
 
 	async #watch(since: Revision): Promise<boolean> {
 		const {waitMs, mayLag} = this.#options;
-		const {isAway} = this;
+		const {isUnreachable: isAway} = this;
 		const askedAt = this.#parts.clock.now();
 		this.#isWaiting = !isAway;
 		const batch = await this.#parts.api.watch([this.#kind], since, isAway ? 0 : waitMs, {mayLag});
@@ -307,7 +307,7 @@
 	}
 
 	#pace() {
-		const {paceMs = 0, mostPaceMs = paceMs} = this.#options;
+		const {paceMs = 0, maxPaceMs: mostPaceMs = paceMs} = this.#options;
 		const now = this.#parts.clock.now();
 		this.#growingPaceMs = now - this.#pacedAt > calmMs ? paceMs : Math.min(mostPaceMs, this.#growingPaceMs + paceMs);
 		this.#pacedAt = now;
--- a/src/gateway/online-call.ts
+++ b/src/gateway/online-call.ts
@@ -12,13 +12,13 @@
 } from './attempt.js';
 import {CallerAnswer} from './caller-answer.js';
 import {gatewayEvents} from './log-events.js';
-import {maySendTo} from './may-send-to.js';
+import {isEligible} from './replica-eligibility.js';
 import type {GatewayParts} from './parts.js';
 import {registrationAge} from './registration-age.js';
 import type {Replica} from './replica.js';
 import {chooseForOnline} from './replica-choice.js';
-import {WatchedContent} from './quarantine/watched-content.js';
-import type {ReplicaConnection} from './replica-connections.js';
+import {TrackedContent} from './quarantine/tracked-content.js';
+import type {ReplicaConnection} from './replica-connection-pool.js';
 import type {
 	CallFields, GatewayRoute, GatewayServiceName, ReplicaId, RouteKind,
 } from './types.js';
@@ -73,7 +73,7 @@
 	readonly #tried = new Set<ReplicaId>();
 	readonly #answer: CallerAnswer;
 	readonly #isRepeatable: boolean;
-	readonly #content: WatchedContent;
+	readonly #content: TrackedContent;
 	readonly #timer: NodeJS.Timeout;
 	readonly #timeLimitMs: number;
 	#attempt: Attempt | undefined;
@@ -98,7 +98,7 @@
 
 	readonly #onAttemptEnd: EndHandlers = {
 		notSent: (_end, replica) => {
-			this.#parts.contacts.noteUnreachable(replica);
+			this.#parts.reachability.noteUnreachable(replica);
 			this.#offer();
 		},
 		refused: (_end, replica) => {
@@ -130,7 +130,7 @@
 		complete: (_end, replica) => {
 			replica.noteAnswer();
 			const isSuccess = this.#runStatus < 300;
-			this.#noteOutcome(replica, this.#runStatus >= 500 || (isSuccess && !this.#answer.isWhole));
+			this.#noteOutcome(replica, this.#runStatus >= 500 || (isSuccess && !this.#answer.isComplete));
 			this.#finish(replica);
 		},
 		outdated: (_end, replica) => {
@@ -146,7 +146,7 @@
 		const {route, fields} = call;
 		this.#isRepeatable = passes[route.kind].isRepeatable(route);
 		this.#answer = new CallerAnswer(call.res, {isRepeatable: this.#isRepeatable, isStream: passes[route.kind].isStream, lastEventId: fields.lastEventId});
-		this.#content = new WatchedContent(parts, 'online', {...call.message, host: route.host});
+		this.#content = new TrackedContent(parts, 'online', {...call.message, host: route.host});
 		this.#service = this.#chooseService(route);
 		this.#timeLimitMs = Math.min(route.timeoutMs, fields.timeLeftMs ?? Infinity);
 		this.#timer = setTimeout(() => {
@@ -217,7 +217,7 @@
 
 		const timeLeftMs = this.#timeLimitMs - this.#elapsedMs();
 		const replica = this.#offers < maxOffers && timeLeftMs > leastTimeMs ? this.#choose() : undefined;
-		const connection = replica && this.#parts.links.take(replica, this.#hasMetSilence);
+		const connection = replica && this.#parts.connectionPools.acquire(replica, this.#hasMetSilence);
 		if (!replica || !connection) {
 			const reason = this.#offers === 0 ? 'noReplica' : 'full';
 			this.#giveUp(reason, comeBackMs[reason]);
@@ -235,15 +235,15 @@
 	}
 
 	#choose(): Replica | undefined {
-		const {clock, random, failureDomain, directory, sharers} = this.#parts;
+		const {clock, random, failureDomain, directory, processCount: sharers} = this.#parts;
 		return chooseForOnline(directory.takingWork(this.#service), {
-			now: clock.now(), random, failureDomain, tried: this.#tried, sharers: sharers(), canGoElsewhere: this.#isRepeatable,
+			now: clock.now(), random, failureDomain, tried: this.#tried, processCount: sharers(), canFailOver: this.#isRepeatable,
 		});
 	}
 
 	#send(replica: Replica, connection: ReplicaConnection, timeLeftMs: number) {
 		const {
-			log, loads, dialect, contacts, clock,
+			log, loads, dialect, reachability: contacts, clock,
 		} = this.#parts;
 		const {fields, message, route} = this.#call;
 		log.emit(gatewayEvents.callRouted, {
@@ -254,10 +254,10 @@
 		this.#resumeAfter = lastEventId > 0 ? lastEventId : fields.lastEventId;
 		this.#sentAt = clock.now();
 		this.#hasFoundPlace = replica.total < replica.record.slots;
-		this.#giveBackPlace = loads.take(replica, 'online');
+		this.#giveBackPlace = loads.acquireSlot(replica, 'online');
 		this.#attempt = new Attempt({
 			connection,
-			contact: contacts.of(replica),
+			reachability: contacts.of(replica),
 			clock,
 			dialect,
 			message,
@@ -268,8 +268,8 @@
 				lastEventId: this.#resumeAfter,
 				caller: this.#call.caller.identity,
 			},
-			patience: {silenceMs: this.#isRepeatable ? repeatableSilenceMs : this.#timeLimitMs, canGoElsewhere: this.#isRepeatable},
-			isCurrent: () => maySendTo(this.#parts, replica),
+			timeouts: {silenceMs: this.#isRepeatable ? repeatableSilenceMs : this.#timeLimitMs, canGoElsewhere: this.#isRepeatable},
+			isEligible: () => isEligible(this.#parts, replica),
 			listener: {
 				onHead: head => {
 					this.#runHead = head;
@@ -288,7 +288,7 @@
 
 	#onBytes(bytes: Buffer) {
 		this.#firstByteMs ||= this.#elapsedMs();
-		this.#answer.take(bytes, this.#attempt);
+		this.#answer.forward(bytes, this.#attempt);
 		if (!this.#answer.isInOrder) {
 			this.#attempt?.dispose();
 			this.#cut('an event of the stream is missing or came twice');
@@ -316,7 +316,7 @@
 
 	#logLaterRun(end: AttemptEnd, replica: Replica) {
 		const head = this.#runHead;
-		this.#parts.log.emit(gatewayEvents.laterRunEnded, {
+		this.#parts.log.emit(gatewayEvents.rerunEnded, {
 			id: this.#call.fields.requestId, replica: replica.record.id, status: this.#runStatus, contentType: head?.headers['content-type'], isFramed: head?.isFramed, resumeAfter: this.#resumeAfter, lastEventId: this.#answer.lastEventId, outcome: end.kind,
 		});
 	}
@@ -327,7 +327,7 @@
 
 	/** A call under which a replica has ended before goes on only once it is known whether another one has: it may be what ends them. All others lose no time. */
 	async #afterLoss(replica: Replica) {
-		const isNoted = this.#content.noteLost(replica);
+		const isNoted = this.#content.noteConnectionLost(replica);
 		if (this.#content.isSuspected) {
 			await isNoted;
 		}
@@ -341,7 +341,7 @@
 	#afterBreak(replica: Replica, reason = 'the replica broke off') {
 		this.#mayHaveRun = true;
 		this.#countRun(replica);
-		this.#answer.dropRest();
+		this.#answer.discardUnsent();
 		if (this.#mayRunAgain()) {
 			this.#offer();
 			return;
@@ -358,12 +358,12 @@
 	}
 
 	#mayRunAgain(): boolean {
-		return this.#isRepeatable && this.#answer.canGoOn && this.#runs < this.#call.route.maxRuns;
+		return this.#isRepeatable && this.#answer.canResume && this.#runs < this.#call.route.maxRuns;
 	}
 
 	#finish(replica: Replica) {
 		const status = this.#runStatus;
-		if (!this.#answer.isWhole) {
+		if (!this.#answer.isComplete) {
 			this.#afterBreak(replica, 'the run did not finish the stream');
 			return;
 		}
@@ -372,7 +372,7 @@
 			this.#mayHaveRun = true;
 			this.#countRun(replica);
 			if (this.#mayRunAgain() && this.#hasOtherReplica()) {
-				this.#answer.dropRest();
+				this.#answer.discardUnsent();
 				this.#offer();
 				return;
 			}
@@ -380,11 +380,11 @@
 
 		this.#answer.finish();
 		if (status < 300) {
-			this.#content.noteFinished();
+			this.#content.noteCompleted();
 		}
 
 		if (this.#hasFoundPlace && status < 300 && this.#runs === 0) {
-			this.#parts.serviceTimes.note(this.#service, this.#parts.clock.now() - this.#sentAt);
+			this.#parts.serviceTimes.recordDuration(this.#service, this.#parts.clock.now() - this.#sentAt);
 		}
 
 		this.#endWith(status, 'answered');
@@ -410,7 +410,7 @@
 			return;
 		}
 
-		this.#call.caller.credit?.giveBack();
+		this.#call.caller.credit?.refund();
 		this.#answer.reply(503, {'retry-after': String(Math.ceil(afterMs) / 1000)});
 		this.#endWith(503, reason);
 	}
@@ -457,7 +457,7 @@
 		const {fields, route} = this.#call;
 		const elapsedMs = Math.round(this.#elapsedMs());
 		log.emit(gatewayEvents.callEnded, {
-			id: fields.requestId, route: route.name, status, reason, elapsedMs, firstByteMs: Math.round(this.#firstByteMs), offers: this.#offers, runs: this.#runs, lastEnd: this.#lastEnd, content: this.#content.knownDigest,
+			id: fields.requestId, route: route.name, status, reason, elapsedMs, firstByteMs: Math.round(this.#firstByteMs), offers: this.#offers, runs: this.#runs, lastEnd: this.#lastEnd, content: this.#content.computedDigest,
 		});
 		metrics.count('gateway.calls', 1, {kind: route.kind, status: String(status)});
 		metrics.timing('gateway.call', elapsedMs, {kind: route.kind});
--- a/src/gateway/parts.ts
+++ b/src/gateway/parts.ts
@@ -7,11 +7,11 @@
 import type {CallRanks} from './accounts/call-ranks.js';
 import type {ConfigBoard} from './config-board.js';
 import type {FeedFreshness} from './feed-freshness.js';
-import type {ReplicaContacts} from './contacts/replica-contacts.js';
+import type {ReplicaReachability} from './contacts/replica-reachability.js';
 import type {LoadBoard} from './load-board.js';
 import type {Quarantine} from './quarantine/quarantine.js';
 import type {ReplicaDirectory} from './replica-directory.js';
-import type {ReplicaLinks} from './replica-links.js';
+import type {ReplicaConnectionPools} from './replica-connection-pools.js';
 import type {ServiceTimes} from './service-times.js';
 import type {CallDialect} from './types.js';
 
@@ -22,8 +22,8 @@
 	/** Of the directory. */
 	readonly replicaFreshness: FeedFreshness;
 	readonly loads: LoadBoard;
-	readonly links: ReplicaLinks;
-	readonly contacts: ReplicaContacts;
+	readonly connectionPools: ReplicaConnectionPools;
+	readonly reachability: ReplicaReachability;
 	readonly serviceTimes: ServiceTimes;
 	readonly ranks: CallRanks;
 	readonly quarantine: Quarantine;
@@ -33,7 +33,7 @@
 	readonly log: EventLog;
 	readonly metrics: Metrics;
 	/** How many processes share the replicas, this one included. */
-	readonly sharers: () => number;
+	readonly processCount: () => number;
 	/** Where this process runs. */
 	readonly failureDomain: string;
 };
--- a/src/gateway/peers/member-entry.ts
+++ b/src/gateway/peers/member-registrar.ts
@@ -10,7 +10,7 @@
 import {readMember, type MemberRecord} from './member-registry.js';
 
 /** What the entry needs. */
-export type MemberEntryParts = {
+export type MemberRegistrarParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
 	readonly clock: Clock;
@@ -21,16 +21,16 @@
 const retryMs = 1000;
 
 /** See the module's head. */
-export class MemberEntry implements Disposable {
-	readonly #parts: MemberEntryParts;
+export class MemberRegistrar implements Disposable {
+	readonly #parts: MemberRegistrarParts;
 	#isDisposed = false;
 
-	constructor(parts: MemberEntryParts) {
+	constructor(parts: MemberRegistrarParts) {
 		this.#parts = parts;
 	}
 
 	/** Writes this process's address, again and again until it stands there. */
-	async enter(record: MemberRecord): Promise<void> {
+	async register(record: MemberRecord): Promise<void> {
 		while (!this.#isDisposed && !(await this.#write(record))) {
 			await this.#parts.clock.sleep(retryMs);
 		}
@@ -53,7 +53,7 @@
 	async #correct(err: ApiError, record: MemberRecord): Promise<boolean> {
 		const {self, api, log} = this.#parts;
 		if (err.kind !== 'conflict') {
-			log.emit(gatewayEvents.memberNotWritten, {member: self, reason: err.kind});
+			log.emit(gatewayEvents.memberWriteFailed, {member: self, reason: err.kind});
 			return false;
 		}
 
--- a/src/gateway/peers/member-registry.ts
+++ b/src/gateway/peers/member-registry.ts
@@ -1,7 +1,7 @@
 /**
 Where the fronts find each other and the keepers: they follow what each process has written into the object API. An address that nobody answers at costs one datagram now and then, so entries of VMs that are gone may stay for a while.
 */
-import {isText, objectOf, oneOf} from '../../common/field-tests.js';
+import {isNonEmptyString, objectOf, oneOf} from '../../common/field-validators.js';
 import type {Clock} from '../../common/services.js';
 import type {ObjectFeed} from '../object-feed.js';
 
@@ -15,7 +15,7 @@
 /** Fronts tell each other their state; keepers hold jobs for them. */
 export type MemberRole = 'front' | 'keeper';
 
-const isRecord = objectOf({address: isText, role: oneOf('front', 'keeper')});
+const isRecord = objectOf({address: isNonEmptyString, role: oneOf('front', 'keeper')});
 
 /** @returns The member, or nothing where the value is none. */
 export const readMember = (value: unknown): MemberRecord | undefined => isRecord(value) ? value as MemberRecord : undefined;
@@ -45,7 +45,7 @@
 	}
 
 	/** When the members were first known, in milliseconds on the monotonic clock; `undefined` before. */
-	get knownAt(): number | undefined {
+	get firstLoadedAt(): number | undefined {
 		return this.#knownAt;
 	}
 
--- a/src/gateway/peers/object-relay.steps.ts
+++ b/src/gateway/peers/object-relay.steps.ts
@@ -32,7 +32,7 @@
 		},
 	} as unknown as ObjectApi;
 	world.relay = world.register(new ObjectRelay({
-		direct, rpc: new RpcClient(world.register(new HttpClient())), helpers: () => [], clock, random: new SeededRandom(1), log,
+		direct, rpc: new RpcClient(world.register(new HttpClient())), peerAddresses: () => [], clock, random: new SeededRandom(1), log,
 	}));
 };
 
--- a/src/gateway/peers/object-relay.ts
+++ b/src/gateway/peers/object-relay.ts
@@ -13,7 +13,7 @@
 } from '../../common/types.js';
 import type {RpcClient, RpcFailure} from '../../io/rpc-client.js';
 import {gatewayEvents} from '../log-events.js';
-import type {ObjectApiAnswer, ObjectApiContact} from '../object-api-contact.js';
+import type {ObjectApiAnswer, ObjectApiReachability} from '../object-api-reachability.js';
 
 /** The method's name between processes. */
 export const objectCallMethod = 'gateway.objectCall';
@@ -63,7 +63,7 @@
 	readonly direct: ObjectApi;
 	readonly rpc: RpcClient;
 	/** Where peers that reach the object API take calls, as `ip:port`. */
-	readonly helpers: () => readonly string[];
+	readonly peerAddresses: () => readonly string[];
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly log: EventLog;
@@ -87,7 +87,7 @@
 const mayLag = (call: ObjectCall): boolean => 'options' in call && call.options?.mayLag === true;
 
 /** See the module's head. */
-export class ObjectRelay implements ObjectApi, ObjectApiContact, Disposable {
+export class ObjectRelay implements ObjectApi, ObjectApiReachability, Disposable {
 	readonly #parts: ObjectRelayParts;
 	readonly #events = new EventEmitter();
 	#answeredAt = -Infinity;
@@ -109,7 +109,7 @@
 		return this.#isDirect;
 	}
 
-	get awayAt(): number | undefined {
+	get lastFailedCallAt(): number | undefined {
 		return this.#isDirect ? undefined : this.#lastFailedCallAt;
 	}
 
@@ -212,7 +212,7 @@
 	}
 
 	async #ask<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
-		const {helpers, random, rpc} = this.#parts;
+		const {peerAddresses: helpers, random, rpc} = this.#parts;
 		const addresses = helpers();
 		const address = addresses[Math.floor(random.next() * addresses.length)];
 		if (address === undefined) {
@@ -247,7 +247,7 @@
 		this.#failedAt = clock.now();
 		if (this.#isDirect) {
 			this.#isDirect = false;
-			this.#parts.log.emit(gatewayEvents.objectApiByPeers, {reason: 'reason' in err ? err.reason : err.kind, peers: this.#parts.helpers().length});
+			this.#parts.log.emit(gatewayEvents.objectApiRelayed, {reason: 'reason' in err ? err.reason : err.kind, peers: this.#parts.peerAddresses().length});
 		}
 
 		this.#probeAfter(Math.max(0, askedAt + probeMs - clock.now()), err);
--- a/src/gateway/peers/peer-announcer.ts
+++ b/src/gateway/peers/peer-announcer.ts
@@ -8,7 +8,7 @@
 import type {FailedRun, FailedRuns} from '../batch/failed-runs.js';
 import type {OutcomeCounts} from '../contacts/recent-outcomes.js';
 import type {LoadBoard} from '../load-board.js';
-import type {CrashNews, Quarantine} from '../quarantine/quarantine.js';
+import type {CrashAnnouncement, Quarantine} from '../quarantine/quarantine.js';
 import type {ReplicaDirectory} from '../replica-directory.js';
 import type {BatchJobId, MemberName} from '../types.js';
 import {
@@ -30,7 +30,7 @@
 @param peers - How many peers are heard.
 @returns Milliseconds until a change has been told.
 */
-export const gatherMs = (peers: number): number => Math.max(leastGatherMs, gatherMsForEachPeer * peers);
+export const announcementDelayMs = (peers: number): number => Math.max(leastGatherMs, gatherMsForEachPeer * peers);
 
 /** Without a change, milliseconds between messages. */
 const heartbeatMs = 250;
@@ -89,22 +89,22 @@
 	constructor(parts: AnnouncerParts) {
 		this.#parts = parts;
 		this.#startedAt = parts.clock.wall();
-		parts.loads.onOwnChange(({total, allBatch, batch, record}) => {
+		parts.loads.onLocalChange(({total, allBatch, batch, record}) => {
 			const peersMustCut = total > record.slots && allBatch > batch;
-			this.#announceWithin(peersMustCut ? urgentMs : gatherMs(parts.peers.live.length));
+			this.#announceWithin(peersMustCut ? urgentMs : announcementDelayMs(parts.peers.live.length));
 		});
-		parts.quarantine.onNews(() => {
+		parts.quarantine.onAnnouncementDue(() => {
 			this.#crashesToldAt = -Infinity;
 			this.#announceWithin(urgentMs);
 		});
-		parts.failedRuns.onNews(() => {
+		parts.failedRuns.onAnnouncementDue(() => {
 			this.#failedRunsToldAt = -Infinity;
-			this.#announceWithin(gatherMs(parts.peers.live.length));
+			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 		parts.peers.onMembership(() => {
-			parts.quarantine.tellAnew();
+			parts.quarantine.reannounce();
 			// A peer that has just come must hear soon which jobs are run here.
-			this.#announceWithin(gatherMs(parts.peers.live.length));
+			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 	}
 
@@ -151,7 +151,7 @@
 		this.#heartbeat?.refresh();
 		const {channel, peers, memberAddresses} = this.#parts;
 		// Under load every message comes from a change and the heartbeat never falls due, so silence is looked for with each message: a peer that died would otherwise keep its jobs until the load ends.
-		peers.dropSilent();
+		peers.removeUnresponsive();
 		const addresses = new Set([...memberAddresses(), ...peers.live.map(({state}) => state.address)]);
 		addresses.delete(channel.address);
 		channel.send([...addresses], peerStateMethod, this.#state());
@@ -167,14 +167,14 @@
 		};
 	}
 
-	#crashesDue(): Partial<CrashNews> {
+	#crashesDue(): Partial<CrashAnnouncement> {
 		const {quarantine, clock} = this.#parts;
-		if (!quarantine.isWatching || clock.now() - this.#crashesToldAt < crashesEveryMs) {
+		if (!quarantine.hasSuspects || clock.now() - this.#crashesToldAt < crashesEveryMs) {
 			return {};
 		}
 
 		this.#crashesToldAt = clock.now();
-		return quarantine.news();
+		return quarantine.announcement();
 	}
 
 	#failedRunsDue(): readonly FailedRun[] | undefined {
@@ -184,7 +184,7 @@
 		}
 
 		this.#failedRunsToldAt = clock.now();
-		return failedRuns.news();
+		return failedRuns.announcement();
 	}
 
 	#accountUsageDue(): readonly AccountUsage[] | undefined {
@@ -194,7 +194,7 @@
 		}
 
 		this.#accountUsageToldAt = clock.now();
-		const news = rateLimits.news();
+		const news = rateLimits.announcement();
 		return news.length === 0 ? undefined : news;
 	}
 
@@ -207,7 +207,7 @@
 		this.#outcomesToldAt = now;
 		return [...this.#parts.directory.all]
 			.filter(({outcomes}) => outcomes.failureShare(now) > 0)
-			.map(({record, outcomes}) => ({replica: record.id, startedAt: record.startedAt, ...rounded(outcomes.own(now))}));
+			.map(({record, outcomes}) => ({replica: record.id, startedAt: record.startedAt, ...rounded(outcomes.ownCounts(now))}));
 	}
 
 	#loads(): SharedLoad[] {
--- a/src/gateway/peers/peer-server.ts
+++ b/src/gateway/peers/peer-server.ts
@@ -17,6 +17,6 @@
 		res.end();
 	},
 	broken(err) {
-		log.emit(gatewayEvents.handlerBroken, {reason: String(err)});
+		log.emit(gatewayEvents.handlerFailed, {reason: String(err)});
 	},
 });
--- a/src/gateway/peers/peer-state.ts
+++ b/src/gateway/peers/peer-state.ts
@@ -6,7 +6,7 @@
 import type {FailedRun} from '../batch/failed-runs.js';
 import type {OutcomeCounts} from '../contacts/recent-outcomes.js';
 import type {ContentDigest} from '../quarantine/content-digest.js';
-import type {Crash} from '../quarantine/crash-memory.js';
+import type {Crash} from '../quarantine/crash-history.js';
 import type {
 	BatchJobId, MemberName, ReplicaId,
 } from '../types.js';
--- a/src/gateway/peers/peer-table.ts
+++ b/src/gateway/peers/peer-table.ts
@@ -58,7 +58,7 @@
 	}
 
 	/** How many processes share the replicas, this one included. */
-	get sharers(): number {
+	get processCount(): number {
 		return this.#peers.size + 1;
 	}
 
@@ -73,7 +73,7 @@
 	}
 
 	/** Takes over what a peer says of itself. Messages that another has overtaken change nothing. */
-	take(state: PeerState): void {
+	receive(state: PeerState): void {
 		const {self, clock, log} = this.#parts;
 		if (state.member === self) {
 			return;
@@ -99,13 +99,13 @@
 	}
 
 	/** Drops the peers that have gone silent. Call it every now and then. */
-	dropSilent(): void {
+	removeUnresponsive(): void {
 		const {clock, log} = this.#parts;
 		const now = clock.now();
 		this.#noteStandstill(now);
 		const silent = [...this.#peers.values()].filter(({heardAt}) => now - Math.max(heardAt, this.#wokeAt) > silenceMs);
 		silent.forEach(({state, heardAt}) => {
-			log.emit(gatewayEvents.peerSilent, {peer: state.member, silentMs: Math.round(now - heardAt)});
+			log.emit(gatewayEvents.peerUnresponsive, {peer: state.member, silentMs: Math.round(now - heardAt)});
 			this.#peers.delete(state.member);
 			this.#takeLoads({...state, loads: []}, state);
 		});
@@ -128,15 +128,15 @@
 		outcomes.forEach(({replica: id, startedAt, ...counts}) => {
 			const replica = directory.get(id);
 			if (replica?.record.startedAt === startedAt) {
-				replica?.outcomes.takePeer(member, counts, clock.now());
+				replica?.outcomes.receivePeerCounts(member, counts, clock.now());
 			}
 		});
 	}
 
 	#takeCrashes({crashes = [], acquitted = []}: PeerState) {
 		const {quarantine} = this.#parts;
-		quarantine.takeCrashes(crashes);
-		quarantine.takeAcquittals(acquitted);
+		quarantine.receiveCrashes(crashes);
+		quarantine.receiveCleared(acquitted);
 	}
 
 	#takeLoads(after: PeerState, before: PeerState | undefined) {
@@ -157,8 +157,8 @@
 		}
 
 		const isOfThisStart = startedAt === replica.record.startedAt;
-		replica.notePeer(peer, isOfThisStart ? {online, batch} : undefined);
-		this.#parts.loads.notePeerChange(replica);
+		replica.setPeerLoad(peer, isOfThisStart ? {online, batch} : undefined);
+		this.#parts.loads.notifyPeerChange(replica);
 	}
 }
 
--- a/src/gateway/peers/shared-checks.steps.ts
+++ b/src/gateway/peers/shared-checks.steps.ts
@@ -50,7 +50,7 @@
 const running = ({processes}: ChecksWorld): Process[] => processes.filter(({hasEnded}) => !hasEnded);
 
 const tell = (world: ChecksWorld, from: Process) => {
-	const checks = from.checks.news();
+	const checks = from.checks.announcement();
 	if (from.hasEnded || !checks) {
 		return;
 	}
@@ -83,7 +83,7 @@
 		self: name,
 		clock,
 		progress: world.register(new ReadProgress(clock)),
-		feeds: [{kind: 'GatewayConfig', feed, everyMs}],
+		feeds: [{kind: 'GatewayConfig', feed, intervalMs: everyMs}],
 		peers: {
 			get live() {
 				return running(world).filter(other => other.name !== name).map(other => ({state: {member: other.name, reachesObjectApi: true, isLeaving: false}})) as unknown as Peer[];
@@ -101,7 +101,7 @@
 	};
 	const telling = setInterval(() => {
 		tell(world, process);
-		process.hasNoticed ||= feed.isAway;
+		process.hasNoticed ||= feed.isUnreachable;
 	}, tellEveryMs);
 	world.register({
 		dispose() {
@@ -179,5 +179,5 @@
 Then('every process has noticed, and knows that it is over within {int} ms', async function (this: ChecksWorld, ms: number) {
 	await sleep(ms);
 	assert.deepEqual(running(this).filter(({hasNoticed}) => !hasNoticed).map(({name}) => name), []);
-	assert.deepEqual(running(this).filter(({feed}) => feed.isAway).map(({name}) => name), []);
+	assert.deepEqual(running(this).filter(({feed}) => feed.isUnreachable).map(({name}) => name), []);
 });
--- a/src/gateway/peers/shared-checks.ts
+++ b/src/gateway/peers/shared-checks.ts
@@ -24,7 +24,7 @@
 	readonly kind: ObjectKind;
 	readonly feed: ObjectFeed;
 	/** Milliseconds after the last confirmation, here or at a peer, until a poll is due. */
-	readonly everyMs: number;
+	readonly intervalMs: number;
 };
 
 /** What the checks need. */
@@ -68,13 +68,13 @@
 	}
 
 	/** Confirmations to announce to the peers now. */
-	news(): readonly FeedCheck[] | undefined {
+	announcement(): readonly FeedCheck[] | undefined {
 		const news = this.#checks.flatMap(check => check.news());
 		return news.length === 0 ? undefined : news;
 	}
 
 	/** When the local state of the kind was last confirmed to be current, here or by a peer; in milliseconds on the monotonic clock. */
-	freshAt(kind: ObjectKind): number {
+	lastConfirmedAt(kind: ObjectKind): number {
 		return this.#checks.find(check => check.kind === kind)?.freshAt ?? -Infinity;
 	}
 
@@ -125,16 +125,16 @@
 	}
 
 	get freshAt(): number {
-		return Math.max(this.#confirmedAt, this.#checked.feed.knownAt);
+		return Math.max(this.#confirmedAt, this.#checked.feed.currentAsOf);
 	}
 
 	start(): void {
-		this.#wait(this.#checked.everyMs);
+		this.#wait(this.#checked.intervalMs);
 	}
 
 	news(): FeedCheck[] {
 		const {feed} = this.#checked;
-		const ageMs = this.#clock.now() - feed.knownAt;
+		const ageMs = this.#clock.now() - feed.currentAsOf;
 		return feed.changedAt === undefined || ageMs > announcedForMs ? [] : [{kind: this.kind, changedAt: feed.changedAt, ageMs: Math.round(ageMs)}];
 	}
 
@@ -173,7 +173,7 @@
 			return;
 		}
 
-		const {feed, everyMs} = this.#checked;
+		const {feed, intervalMs: everyMs} = this.#checked;
 		this.#behindSince = undefined;
 		const isKnown = await feed.sync();
 		if (isKnown) {
@@ -184,13 +184,13 @@
 	}
 
 	#dueAt(): number {
-		const {feed, everyMs} = this.#checked;
+		const {feed, intervalMs: everyMs} = this.#checked;
 		const behindDueAt = this.#behindSince === undefined ? Infinity : this.#behindSince + lagTimeoutMs;
-		if (!feed.isFollowing) {
+		if (!feed.isWatching) {
 			// Its own next call is about to be made.
 			return this.#clock.now() + retryMs;
 		}
 
-		return feed.isAway ? -Infinity : Math.min(behindDueAt, this.freshAt + everyMs + this.#options.delayMs());
+		return feed.isUnreachable ? -Infinity : Math.min(behindDueAt, this.freshAt + everyMs + this.#options.delayMs());
 	}
 }
--- a/src/gateway/quarantine/crash-memory.ts
+++ b/src/gateway/quarantine/crash-history.ts
@@ -21,7 +21,7 @@
 export const startOf = ({id, startedAt}: Pick<ReplicaRecord, 'id' | 'startedAt'>): ReplicaStart => `${id}/${startedAt ?? ''}` as ReplicaStart;
 
 /** See the module's head. Times are milliseconds on the monotonic clock. */
-export class CrashMemory {
+export class CrashHistory {
 	/** When each replica ended, by content; the content of the last crash comes last. */
 	readonly #crashes = new Map<ContentDigest, Map<ReplicaStart, number>>();
 
@@ -31,7 +31,7 @@
 	}
 
 	/** @returns False where it was known: several processes may have had the same request there. */
-	note({content, start}: Crash, at: number): boolean {
+	record({content, start}: Crash, at: number): boolean {
 		const ended = this.#crashes.get(content) ?? new Map<ReplicaStart, number>();
 		if (ended.has(start)) {
 			return false;
@@ -44,19 +44,19 @@
 		return true;
 	}
 
-	forget(content: ContentDigest): void {
+	delete(content: ContentDigest): void {
 		this.#crashes.delete(content);
 	}
 
 	/** Forgets requests whose last crash was before a moment. */
-	forgetBefore(at: number): void {
+	deleteBefore(at: number): void {
 		[...this.#crashes.keys()].filter(content => this.lastCrashAt(content) < at).forEach(content => {
-			this.forget(content);
+			this.delete(content);
 		});
 	}
 
 	/** Requests under which so many replicas have ended, those of the last crashes last. */
-	withCrashes(least: number): readonly ContentDigest[] {
+	withAtLeast(least: number): readonly ContentDigest[] {
 		return [...this.#crashes].filter(([, ended]) => ended.size >= least).map(([content]) => content);
 	}
 
@@ -77,7 +77,7 @@
 	#forgetOldest() {
 		const [oldest] = this.#crashes.keys();
 		if (this.#crashes.size > maxContents && oldest !== undefined) {
-			this.forget(oldest);
+			this.delete(oldest);
 		}
 	}
 }
--- a/src/gateway/quarantine/quarantine-records.steps.ts
+++ b/src/gateway/quarantine/quarantine-records.steps.ts
@@ -55,7 +55,7 @@
 const recordsIn = ({api}: RecordsWorld) => api.all('Quarantine').filter(({name}) => name === content);
 
 const hear = (peers: PeerTable, member: string) => {
-	peers.take({
+	peers.receive({
 		member: branded<MemberName>(member), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [],
 	});
 };
@@ -95,7 +95,7 @@
 
 When('{int} replicas end under a request at {string}, and {string} hears of it', function (this: RecordsWorld, count: number, name: string, other: string) {
 	endReplicas(processOf(this, name), count);
-	processOf(this, other).quarantine.takeCrashes(processOf(this, name).quarantine.news().crashes);
+	processOf(this, other).quarantine.receiveCrashes(processOf(this, name).quarantine.announcement().crashes);
 });
 
 Given('the object API is away', function (this: RecordsWorld) {
--- a/src/gateway/quarantine/quarantine-records.ts
+++ b/src/gateway/quarantine/quarantine-records.ts
@@ -11,14 +11,14 @@
 import type {Revision} from '../../common/ids.js';
 import {errorOf} from '../../common/error-of.js';
 import {
-	isAmount, isText, listOf, objectOf,
-} from '../../common/field-tests.js';
+	isNonNegativeNumber, isNonEmptyString, listOf, objectOf,
+} from '../../common/field-validators.js';
 import {gatewayEvents} from '../log-events.js';
 import type {ObjectFeed} from '../object-feed.js';
 import type {PeerTable} from '../peers/peer-table.js';
 import type {MemberName} from '../types.js';
 import type {ContentDigest} from './content-digest.js';
-import type {ReplicaStart} from './crash-memory.js';
+import type {ReplicaStart} from './crash-history.js';
 import type {Quarantine} from './quarantine.js';
 
 /** What stands in the object API, under the content's digest. */
@@ -49,7 +49,7 @@
 type KnownRecord = {readonly version: Revision; readonly crashes: number};
 
 /** Whether a value is a {@link QuarantineRecord}. */
-export const isRecord = objectOf({starts: listOf(isText), lastCrashAt: isAmount});
+export const isQuarantineRecord = objectOf({starts: listOf(isNonEmptyString), lastCrashAt: isNonNegativeNumber});
 
 /** See the module's head. */
 export class QuarantineRecords implements Disposable {
@@ -85,7 +85,7 @@
 		quarantine.onHeld(() => {
 			void this.#bringInLine();
 		});
-		quarantine.onAcquitted(content => {
+		quarantine.onCleared(content => {
 			if (this.#records.delete(content)) {
 				this.#releases.add(content);
 			}
@@ -94,7 +94,7 @@
 
 	start(): void {
 		this.#timer = setInterval(() => {
-			this.#parts.quarantine.forgetOld();
+			this.#parts.quarantine.deleteExpired();
 			void this.#bringInLine();
 		}, lookMs);
 	}
@@ -104,8 +104,8 @@
 	}
 
 	#take({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
-		if (!isRecord(value)) {
-			this.#parts.log.emit(gatewayEvents.quarantineNotKept, {content: name, reason: 'the record cannot be read'});
+		if (!isQuarantineRecord(value)) {
+			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record cannot be read'});
 			return;
 		}
 
@@ -116,13 +116,13 @@
 
 		const {starts, lastCrashAt} = value as QuarantineRecord;
 		this.#records.set(content, {version, crashes: starts.length});
-		this.#parts.quarantine.takeCrashes(starts.map(start => ({content, start})), this.#parts.clock.wall() - lastCrashAt);
+		this.#parts.quarantine.receiveCrashes(starts.map(start => ({content, start})), this.#parts.clock.wall() - lastCrashAt);
 	}
 
 	#noteRemoved(content: ContentDigest) {
 		this.#releases.delete(content);
 		if (this.#records.delete(content)) {
-			this.#parts.quarantine.acquit(content, 'its record was removed');
+			this.#parts.quarantine.clear(content, 'its record was removed');
 		}
 	}
 
@@ -183,13 +183,13 @@
 			return;
 		}
 
-		this.#parts.log.emit(gatewayEvents.quarantineNotKept, {content, reason: err.kind});
+		this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content, reason: err.kind});
 	}
 
 	async #remove(content: ContentDigest): Promise<void> {
 		const err = errorOf(await this.#parts.api.remove('Quarantine', content));
 		if (err && err.kind !== 'notFound') {
-			this.#parts.log.emit(gatewayEvents.quarantineNotKept, {content, reason: err.kind});
+			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content, reason: err.kind});
 			return;
 		}
 
--- a/src/gateway/quarantine/quarantine.steps.ts
+++ b/src/gateway/quarantine/quarantine.steps.ts
@@ -11,8 +11,8 @@
 } from '../testing/crash-model.js';
 import type {GatewayServiceName, ReplicaId, ReplicaRecord} from '../types.js';
 import type {ContentDigest} from './content-digest.js';
-import {startOf} from './crash-memory.js';
-import {enoughCrashes, Quarantine} from './quarantine.js';
+import {startOf} from './crash-history.js';
+import {crashThreshold, Quarantine} from './quarantine.js';
 
 type QuarantineWorld = {
 	now: number;
@@ -39,8 +39,8 @@
 const crashOf = (number: number) => ({content, start: startOf(replicaOf(number))});
 
 const play = ({poison, perSecond, popular}: QuarantineWorld, enough: number, blame?: Blame): PoisonOutcome[] => seeds.map(seed => new CrashModel({
-	poison, perSecond, enoughCrashes: enough, random: new SeededRandom(seed), blame, ...popular,
-}).play());
+	poison, perSecond, crashThreshold: enough, random: new SeededRandom(seed), blame, ...popular,
+}).simulate());
 
 const meanOf = (outcomes: readonly PoisonOutcome[], value: (outcome: PoisonOutcome) => number): number => outcomes.reduce((sum, outcome) => sum + value(outcome), 0) / outcomes.length;
 
@@ -54,7 +54,7 @@
 	this.ended = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	this.quarantine = new Quarantine({clock, log});
-	this.quarantine.onNews(() => {
+	this.quarantine.onAnnouncementDue(() => {
 		this.toldAt = this.now;
 	});
 	Array.from({length: count}).forEach(() => {
@@ -71,15 +71,15 @@
 });
 
 When('a peer tells of {int} other replicas that ended under it', function (this: QuarantineWorld, count: number) {
-	this.quarantine.takeCrashes(Array.from({length: count}, (_, i) => crashOf(100 + i)));
+	this.quarantine.receiveCrashes(Array.from({length: count}, (_, i) => crashOf(100 + i)));
 });
 
 When('a peer tells of the same replicas', function (this: QuarantineWorld) {
-	this.quarantine.takeCrashes(Array.from({length: this.ended}, (_, i) => crashOf(i + 1)));
+	this.quarantine.receiveCrashes(Array.from({length: this.ended}, (_, i) => crashOf(i + 1)));
 });
 
 When('a peer tells that it has run to its end', function (this: QuarantineWorld) {
-	this.quarantine.takeAcquittals([content]);
+	this.quarantine.receiveCleared([content]);
 });
 
 When('a replica runs it to its end', function (this: QuarantineWorld) {
@@ -87,7 +87,7 @@
 });
 
 When('a peer joins', function (this: QuarantineWorld) {
-	this.quarantine.tellAnew();
+	this.quarantine.reannounce();
 });
 
 When('the clock moves on by {int} seconds', function (this: QuarantineWorld, seconds: number) {
@@ -105,16 +105,16 @@
 });
 
 Then('peers are told of {int} crashes', function (this: QuarantineWorld, count: number) {
-	assert.equal(this.quarantine.news().crashes.length, count);
+	assert.equal(this.quarantine.announcement().crashes.length, count);
 });
 
 Then('peers are told of {int} crashes, at once', function (this: QuarantineWorld, count: number) {
 	assert.equal(this.toldAt, this.now);
-	assert.equal(this.quarantine.news().crashes.length, count);
+	assert.equal(this.quarantine.announcement().crashes.length, count);
 });
 
 Then('peers are told that it was cleared, and of the last crash', function (this: QuarantineWorld) {
-	const {crashes, acquitted} = this.quarantine.news();
+	const {crashes, acquitted} = this.quarantine.announcement();
 	assert.deepEqual(acquitted, [content]);
 	assert.deepEqual(crashes, [crashOf(this.ended)]);
 });
@@ -129,7 +129,7 @@
 });
 
 When('requests are held back', function (this: QuarantineWorld) {
-	this.outcomes = play(this, enoughCrashes);
+	this.outcomes = play(this, crashThreshold);
 });
 
 Given('half of the replicas end at once five times, and a tenth of the calls asks for the same', function (this: QuarantineWorld) {
@@ -137,7 +137,7 @@
 });
 
 When('requests are held back by their part of the blame', function (this: QuarantineWorld) {
-	this.outcomes = play(this, enoughCrashes, 'shared');
+	this.outcomes = play(this, crashThreshold, 'shared');
 });
 
 Then('at most {int} in a hundred calls for it are refused', function (this: QuarantineWorld, share: number) {
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -9,7 +9,7 @@
 import {gatewayEvents} from '../log-events.js';
 import type {ReplicaRecord} from '../types.js';
 import type {ContentDigest} from './content-digest.js';
-import {CrashMemory, startOf, type Crash} from './crash-memory.js';
+import {CrashHistory, startOf, type Crash} from './crash-history.js';
 
 /** What the quarantine needs. */
 export type QuarantineParts = {
@@ -18,7 +18,7 @@
 };
 
 /** What one process tells its peers of crashes. */
-export type CrashNews = {
+export type CrashAnnouncement = {
 	readonly crashes: readonly Crash[];
 	readonly acquitted: readonly ContentDigest[];
 };
@@ -28,7 +28,7 @@
 
 With fewer, ordinary requests that were at replicas which ended for another reason would be refused; with more, each such request takes that many replicas from all other callers (quarantine.feature).
 */
-export const enoughCrashes = 3;
+export const crashThreshold = 3;
 
 /**
 How long a request is held back after its last crash, in milliseconds; twice as long after each further one. Then it is tried, since it may be blamed wrongly: three replicas that end at once for another reason may all have had the same popular request. One run that comes to its end clears it.
@@ -55,7 +55,7 @@
 /** See the module's head. */
 export class Quarantine {
 	readonly #parts: QuarantineParts;
-	readonly #memory = new CrashMemory();
+	readonly #memory = new CrashHistory();
 	readonly #events = new EventEmitter();
 	/** Requests under which enough replicas have ended, whether they may be tried by now or not. */
 	readonly #held = new Set<ContentDigest>();
@@ -67,7 +67,7 @@
 	}
 
 	/** Whether any request is remembered. While none is, nobody has to know what a request asks for. */
-	get isWatching(): boolean {
+	get hasSuspects(): boolean {
 		return this.#memory.size > 0;
 	}
 
@@ -77,7 +77,7 @@
 	}
 
 	/** Calls the listener when there is something to tell peers at once. */
-	onNews(listener: () => void): void {
+	onAnnouncementDue(listener: () => void): void {
 		this.#events.on('news', listener);
 	}
 
@@ -87,18 +87,18 @@
 	}
 
 	/** Calls the listener when a request has been shown to end no replica. */
-	onAcquitted(listener: (content: ContentDigest) => void): void {
+	onCleared(listener: (content: ContentDigest) => void): void {
 		this.#events.on('acquitted', listener);
 	}
 
 	/** @returns For how many more milliseconds a request is not to be sent; 0 where it may be. */
 	heldMs(content: ContentDigest, kind: LoadKind): number {
 		const crashes = this.#memory.countOf(content);
-		if (crashes < enoughCrashes) {
+		if (crashes < crashThreshold) {
 			return 0;
 		}
 
-		const holdMs = Math.min(mostHoldMs, firstHoldMs[kind] * (2 ** (crashes - enoughCrashes)));
+		const holdMs = Math.min(mostHoldMs, firstHoldMs[kind] * (2 ** (crashes - crashThreshold)));
 		return Math.max(0, this.#memory.lastCrashAt(content) + holdMs - this.#parts.clock.now());
 	}
 
@@ -130,16 +130,16 @@
 
 		const isUrgent = this.#held.has(content);
 		this.#toldAcquittals = [...this.#toldAcquittals, {content, at: this.#parts.clock.now()}];
-		this.acquit(content, 'it has run to its end');
+		this.clear(content, 'it has run to its end');
 		if (isUrgent) {
 			this.#events.emit('news');
 		}
 	}
 
 	/** Forgets what is held against a request. */
-	acquit(content: ContentDigest, reason: string): void {
+	clear(content: ContentDigest, reason: string): void {
 		this.#toldCrashes = this.#toldCrashes.filter(crash => crash.content !== content);
-		this.#memory.forget(content);
+		this.#memory.delete(content);
 		if (this.#held.delete(content)) {
 			this.#parts.log.emit(gatewayEvents.contentReleased, {content, reason});
 		}
@@ -148,7 +148,7 @@
 	}
 
 	/** Takes over what a peer, or a record, says of crashes that were `agoMs` before. */
-	takeCrashes(crashes: readonly Crash[], agoMs = 0): void {
+	receiveCrashes(crashes: readonly Crash[], agoMs = 0): void {
 		const at = this.#parts.clock.now() - Math.max(0, agoMs);
 		crashes.forEach(crash => {
 			this.#take(crash, at);
@@ -156,15 +156,15 @@
 	}
 
 	/** Takes over that requests have run to their end elsewhere. */
-	takeAcquittals(contents: readonly ContentDigest[]): void {
+	receiveCleared(contents: readonly ContentDigest[]): void {
 		contents.filter(content => this.isSuspected(content)).forEach(content => {
-			this.acquit(content, 'it has run to its end at another process');
+			this.clear(content, 'it has run to its end at another process');
 		});
 	}
 
 	/** Tells peers again what more than one replica has ended under: one of them may have been cut off, or has just started. */
-	tellAnew(): void {
-		const contents = this.#memory.withCrashes(enoughCrashes - 1).slice(-maxToldAnew);
+	reannounce(): void {
+		const contents = this.#memory.withAtLeast(crashThreshold - 1).slice(-maxToldAnew);
 		if (contents.length > 0) {
 			this.#tellAllOf(contents);
 			this.#events.emit('news');
@@ -172,7 +172,7 @@
 	}
 
 	/** What peers are to be told now; nothing to tell most of the time. */
-	news(): CrashNews {
+	announcement(): CrashAnnouncement {
 		const since = this.#parts.clock.now() - tellMs;
 		this.#toldCrashes = this.#toldCrashes.filter(({at}) => at >= since);
 		this.#toldAcquittals = this.#toldAcquittals.filter(({at}) => at >= since);
@@ -183,10 +183,10 @@
 	}
 
 	/** Forgets what is long past. Call it every now and then. */
-	forgetOld(): void {
-		this.#memory.forgetBefore(this.#parts.clock.now() - memoryMs);
+	deleteExpired(): void {
+		this.#memory.deleteBefore(this.#parts.clock.now() - memoryMs);
 		this.held.filter(content => !this.isSuspected(content)).forEach(content => {
-			this.acquit(content, 'its last crash is long past');
+			this.clear(content, 'its last crash is long past');
 		});
 	}
 
@@ -198,12 +198,12 @@
 	}
 
 	#take(crash: Crash, at: number): boolean {
-		const isNew = this.#memory.note(crash, at);
+		const isNew = this.#memory.record(crash, at);
 		const {content} = crash;
 		const heldMs = this.heldMs(content, 'online');
 		if (isNew && heldMs > 0) {
 			this.#held.add(content);
-			this.#parts.log.emit(gatewayEvents.contentHeld, {content, crashes: this.#memory.countOf(content), heldMs: Math.round(heldMs)});
+			this.#parts.log.emit(gatewayEvents.contentQuarantined, {content, crashes: this.#memory.countOf(content), heldMs: Math.round(heldMs)});
 			// The process that saw the last crash may know of fewer than this one: it may have just started.
 			this.#tellAllOf([content]);
 			this.#events.emit('news');
--- a/src/gateway/quarantine/watched-content.ts
+++ b/src/gateway/quarantine/tracked-content.ts
@@ -2,7 +2,7 @@
 One request as the quarantine sees it, over all its runs: whether it may be sent, and what its runs have shown.
 */
 import type {EventLog} from '../../common/services.js';
-import type {ReplicaContacts} from '../contacts/replica-contacts.js';
+import type {ReplicaReachability} from '../contacts/replica-reachability.js';
 import type {LoadKind} from '../load-board.js';
 import {gatewayEvents} from '../log-events.js';
 import type {Replica} from '../replica.js';
@@ -10,20 +10,20 @@
 import type {Quarantine} from './quarantine.js';
 
 /** What a request is watched with. */
-export type WatchParts = {
+export type TrackedContentParts = {
 	readonly quarantine: Quarantine;
-	readonly contacts: Pick<ReplicaContacts, 'hasEnded'>;
+	readonly reachability: Pick<ReplicaReachability, 'hasEnded'>;
 	readonly log: EventLog;
 };
 
 /** See the module's head. */
-export class WatchedContent {
-	readonly #parts: WatchParts;
+export class TrackedContent {
+	readonly #parts: TrackedContentParts;
 	readonly #kind: LoadKind;
 	readonly #content: RequestContent;
 	#digest: ContentDigest | undefined;
 
-	constructor(parts: WatchParts, kind: LoadKind, content: RequestContent) {
+	constructor(parts: TrackedContentParts, kind: LoadKind, content: RequestContent) {
 		this.#parts = parts;
 		this.#kind = kind;
 		this.#content = content;
@@ -36,36 +36,36 @@
 	}
 
 	/** The digest, if anything has needed it yet. */
-	get knownDigest(): ContentDigest | undefined {
+	get computedDigest(): ContentDigest | undefined {
 		return this.#digest;
 	}
 
 	/** For how many more milliseconds it is not to be sent; 0 where it may be. */
 	get heldMs(): number {
 		const {quarantine} = this.#parts;
-		return quarantine.isWatching ? quarantine.heldMs(this.digest, this.#kind) : 0;
+		return quarantine.hasSuspects ? quarantine.heldMs(this.digest, this.#kind) : 0;
 	}
 
 	/** Whether a replica has ended under it before. */
 	get isSuspected(): boolean {
 		const {quarantine} = this.#parts;
-		return quarantine.isWatching && quarantine.isSuspected(this.digest);
+		return quarantine.hasSuspects && quarantine.isSuspected(this.digest);
 	}
 
 	/** Its connection broke within a run. Resolves once it is known whether the replica has ended. */
-	async noteLost(replica: Replica): Promise<void> {
-		const {quarantine, contacts, log} = this.#parts;
+	async noteConnectionLost(replica: Replica): Promise<void> {
+		const {quarantine, reachability: contacts, log} = this.#parts;
 		const {record} = replica;
 		if (await contacts.hasEnded(replica)) {
-			log.emit(gatewayEvents.replicaEnded, {replica: record.id, content: this.digest});
+			log.emit(gatewayEvents.replicaTerminated, {replica: record.id, content: this.digest});
 			quarantine.noteCrash(this.digest, record);
 		}
 	}
 
 	/** A replica has run it to its end. */
-	noteFinished(): void {
+	noteCompleted(): void {
 		const {quarantine} = this.#parts;
-		if (quarantine.isWatching) {
+		if (quarantine.hasSuspects) {
 			quarantine.noteSuccess(this.digest);
 		}
 	}
--- a/src/gateway/registration-age.ts
+++ b/src/gateway/registration-age.ts
@@ -14,7 +14,7 @@
 };
 
 /** The age at this moment. */
-export const registrationAge = ({directory, clock}: {readonly directory: ReplicaDirectory; readonly clock: Clock}, {missedAt}: Replica): RegistrationAge => {
+export const registrationAge = ({directory, clock}: {readonly directory: ReplicaDirectory; readonly clock: Clock}, {missingSince: missedAt}: Replica): RegistrationAge => {
 	const now = clock.now();
 	return {
 		heardMs: Math.round(now - directory.heardAt),
--- a/src/gateway/registration-controller.steps.ts
+++ b/src/gateway/registration-controller.steps.ts
@@ -16,7 +16,7 @@
 import {ObjectRelay} from './peers/object-relay.js';
 import {RegistrationController} from './registration-controller.js';
 import {ReplicaDirectory} from './replica-directory.js';
-import {knownReplicas, registrationOf, replicaRecords} from './testing/registrations.js';
+import {registeredReplicas, registrationOf, replicaRecords} from './testing/registrations.js';
 
 type RegistrationsWorld = TestWorld & {
 	api: FakeObjectApi;
@@ -52,11 +52,11 @@
 	}
 
 	const relay = this.register(new ObjectRelay({
-		direct: this.api, rpc: new RpcClient(this.register(new HttpClient())), helpers: () => [], clock, random: new SeededRandom(1), log,
+		direct: this.api, rpc: new RpcClient(this.register(new HttpClient())), peerAddresses: () => [], clock, random: new SeededRandom(1), log,
 	}));
 	this.relay = relay;
 	const feed = this.register(new ObjectFeed({
-		api: relay, contact: relay, clock, log,
+		api: relay, reachability: relay, clock, log,
 	}, 'Registration', {waitMs: 50, mayLag: false}));
 	this.register(new RegistrationController({
 		directory: this.directory, feed, records: replicaRecords, clock, log, drainMs: 2000,
@@ -114,7 +114,7 @@
 });
 
 Then('the process knows {string} within {int} ms of the object API\'s return', async function (this: RegistrationsWorld, names: string, ms: number) {
-	await until(() => knownReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
 	const lateMs = performance.now() - this.backAt;
 	assert.ok(lateMs <= ms, `${Math.round(lateMs)} ms`);
 });
@@ -122,7 +122,7 @@
 Then('the process knows {string} for {int} ms more', async function (this: RegistrationsWorld, names: string, ms: number) {
 	const endsAt = performance.now() + ms;
 	while (performance.now() < endsAt) {
-		assert.equal(knownReplicas(this.directory).join(', '), names);
+		assert.equal(registeredReplicas(this.directory).join(', '), names);
 		await sleep(20);
 	}
 });
--- a/src/gateway/registration-controller.ts
+++ b/src/gateway/registration-controller.ts
@@ -58,10 +58,10 @@
 		parts.feed.onChanges(events => {
 			this.#takeChanges(events);
 		});
-		parts.feed.onHeard(at => {
+		parts.feed.onAnswer(at => {
 			parts.directory.heardAt = at;
 		});
-		parts.directory.onChange(({replica: {record, missedAt}, change}) => {
+		parts.directory.onChange(({replica: {record, missingSince: missedAt}, change}) => {
 			parts.log.emit(gatewayEvents.replicaChanged, {
 				replica: record.id, service: record.service, address: record.address, change, missedMs: missedAt === undefined ? undefined : Math.round(parts.clock.now() - missedAt),
 			});
@@ -166,8 +166,8 @@
 			return;
 		}
 
-		replica.missedAt = clock.now();
-		log.emit(gatewayEvents.replicaMissed, {replica: id, graceMs: Math.round(graceMs)});
+		replica.missingSince = clock.now();
+		log.emit(gatewayEvents.registrationMissing, {replica: id, graceMs: Math.round(graceMs)});
 		const timer = setTimeout(() => {
 			this.#missed.delete(id);
 			directory.remove(id);
@@ -178,7 +178,7 @@
 	#forgive(id: ReplicaId) {
 		const replica = this.#parts.directory.get(id);
 		if (replica) {
-			replica.missedAt = undefined;
+			replica.missingSince = undefined;
 		}
 
 		clearTimeout(this.#missed.get(id));
@@ -189,7 +189,7 @@
 	#graceLeftMs(): number {
 		const {feed, clock, drainMs} = this.#parts;
 		const now = clock.now();
-		const regainedAt = feed.regainedAt ?? now;
+		const regainedAt = feed.outageEndedAt ?? now;
 		const backAt = feed.failedCallAt ?? regainedAt;
 		return Math.min(regainedAt + graceAfterOutageMs - now, backAt + contactMs - travelMs - now, drainMs - travelMs);
 	}
--- a/src/gateway/replica-choice.steps.ts
+++ b/src/gateway/replica-choice.steps.ts
@@ -6,21 +6,21 @@
 import type {TestWorld} from '../common/testing/test-world.js';
 import {branded} from '../common/ids.js';
 import {SeededRandom} from '../io/seeded-random.js';
-import {itemsToCut} from './replica-choice.js';
+import {itemsToPreempt} from './replica-choice.js';
 import {Replica} from './replica.js';
-import {playGreyFault, type GreyFault, type GreyOutcome} from './testing/grey-model.js';
-import {WaveModel, type JoinOutcome, type Wave} from './testing/wave-model.js';
+import {simulateGreyFailure, type GreyFailure, type GreyFailureOutcome} from './testing/grey-failure-model.js';
+import {WaveModel, type AddedReplicasOutcome, type Wave} from './testing/wave-model.js';
 import type {GatewayServiceName, MemberName, ReplicaId} from './types.js';
 
 type ChoiceWorld = TestWorld & {
 	fleet: Pick<Wave, 'processes' | 'replicas' | 'slots'>;
 	wave: Omit<Wave, 'random'>;
 	share: number;
-	joined: readonly JoinOutcome[];
+	joined: readonly AddedReplicasOutcome[];
 	lateWithoutLosses: number | undefined;
 	place: {readonly slots: number; readonly online: number};
 	items: number[];
-	fault: Omit<GreyFault, 'random' | 'isNoted'>;
+	fault: Omit<GreyFailure, 'random' | 'areOutcomesRecorded'>;
 };
 
 const seeds = [1, 2, 3];
@@ -33,8 +33,8 @@
 	this.fleet = {processes, replicas, slots};
 });
 
-Given('{int} calls a second, with news every {int} ms', function (this: ChoiceWorld, perSecond: number, gatherMs: number) {
-	this.wave = {...this.fleet, perSecond, gatherMs};
+Given('{int} calls a second, with news every {int} ms', function (this: ChoiceWorld, perSecond: number, announceEveryMs: number) {
+	this.wave = {...this.fleet, perSecond, announceEveryMs};
 });
 
 Then('fewer than {int} % of the calls wait too long', function (this: ChoiceWorld, percent: number) {
@@ -43,18 +43,18 @@
 });
 
 Then('looking at all replicas would make at least {float} times as many wait too long', function (this: ChoiceWorld, factor: number) {
-	const all = meanShare({...this.wave, sharersTold: 1});
+	const all = meanShare({...this.wave, assumedProcessCount: 1});
 	assert.ok(all >= factor * this.share, `${all} against ${this.share}`);
 });
 
 Given('half of the replicas lose {int} % of their answers', function (this: ChoiceWorld, percent: number) {
-	this.wave = {...this.wave, losing: percent / 100};
+	this.wave = {...this.wave, lossShare: percent / 100};
 });
 
 /** Percentage points of late calls that the losses add. */
-const addedByLosses = (world: ChoiceWorld, judges: Wave['judges']): number => {
-	world.lateWithoutLosses ??= meanShare({...world.wave, losing: 0});
-	return 100 * (meanShare({...world.wave, judges}) - world.lateWithoutLosses);
+const addedByLosses = (world: ChoiceWorld, lossAccounting: Wave['lossAccounting']): number => {
+	world.lateWithoutLosses ??= meanShare({...world.wave, lossShare: 0});
+	return 100 * (meanShare({...world.wave, lossAccounting}) - world.lateWithoutLosses);
 };
 
 Then('at most {int} % more of the calls wait too long than if none was lost', function (this: ChoiceWorld, percent: number) {
@@ -67,8 +67,8 @@
 	assert.ok(more >= percent, String(more));
 });
 
-Given('{int} of the replicas are added, empty, within a wave', function (this: ChoiceWorld, joining: number) {
-	this.wave = {...this.wave, joining};
+Given('{int} of the replicas are added, empty, within a wave', function (this: ChoiceWorld, addedReplicas: number) {
+	this.wave = {...this.wave, addedReplicas};
 });
 
 Then('in their first second each gets {float} to {float} times the calls that each of the others gets', function (this: ChoiceWorld, least: number, most: number) {
@@ -77,12 +77,12 @@
 		model.run();
 		return model.joined;
 	});
-	const part = this.joined.reduce((sum, one) => sum + one.part, 0) / seeds.length;
+	const part = this.joined.reduce((sum, one) => sum + one.callRatio, 0) / seeds.length;
 	assert.ok(part >= least && part <= most, String(part));
 });
 
 Then('none ever has more than {int} calls', function (this: ChoiceWorld, most: number) {
-	const found = Math.max(...this.joined.map(one => one.most));
+	const found = Math.max(...this.joined.map(one => one.maxCalls));
 	assert.ok(found <= most, String(found));
 });
 
@@ -105,10 +105,10 @@
 		replica.batch = items[own]!;
 		members.forEach((peer, i) => {
 			if (i !== own) {
-				replica.notePeer(peer, {online: 0, batch: items[i]!});
+				replica.setPeerLoad(peer, {online: 0, batch: items[i]!});
 			}
 		});
-		return itemsToCut(replica, self);
+		return itemsToPreempt(replica, self);
 	});
 	assert.equal(cut.reduce((sum, one) => sum + one, 0), count);
 });
@@ -123,16 +123,16 @@
 	this.fault = {...this.fault, perSecond};
 });
 
-const meanOutcome = (fault: Omit<GreyFault, 'random'>): GreyOutcome => {
-	const outcomes = seeds.map(seed => playGreyFault({...fault, random: new SeededRandom(seed)}));
-	const mean = (part: keyof GreyOutcome) => outcomes.reduce((sum, outcome) => sum + outcome[part], 0) / seeds.length;
-	return {failed: mean('failed'), atLast: mean('atLast')};
+const meanOutcome = (fault: Omit<GreyFailure, 'random'>): GreyFailureOutcome => {
+	const outcomes = seeds.map(seed => simulateGreyFailure({...fault, random: new SeededRandom(seed)}));
+	const mean = (part: keyof GreyFailureOutcome) => outcomes.reduce((sum, outcome) => sum + outcome[part], 0) / seeds.length;
+	return {failed: mean('failed'), shareAtEnd: mean('shareAtEnd')};
 };
 
 Then('fewer than {int} % of the calls fail, against {int} % without a memory of failures', function (this: ChoiceWorld, share: number, without: number) {
-	const noted = meanOutcome({...this.fault, isNoted: true});
+	const noted = meanOutcome({...this.fault, areOutcomesRecorded: true});
 	assert.ok(noted.failed < share / 100, String(noted.failed));
-	assert.ok(meanOutcome({...this.fault, isNoted: false}).failed > without / 100);
+	assert.ok(meanOutcome({...this.fault, areOutcomesRecorded: false}).failed > without / 100);
 });
 
 /** When the fault ends, in milliseconds: half of the time that is played. */
@@ -140,7 +140,7 @@
 
 Then('the replica still gets some calls, and its part of them once it has recovered', function (this: ChoiceWorld) {
 	const {replicas} = this.fault;
-	assert.ok(meanOutcome({...this.fault, isNoted: true}).atLast > 0);
-	const recovered = meanOutcome({...this.fault, isNoted: true, endsAt: recoversAt});
-	assert.ok(recovered.atLast > 0.8 / replicas, String(recovered.atLast));
+	assert.ok(meanOutcome({...this.fault, areOutcomesRecorded: true}).shareAtEnd > 0);
+	const recovered = meanOutcome({...this.fault, areOutcomesRecorded: true, endsAt: recoversAt});
+	assert.ok(recovered.shareAtEnd > 0.8 / replicas, String(recovered.shareAtEnd));
 });
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -18,9 +18,9 @@
 	/** This process's failure domain: between equals, the near replica saves traffic between domains. */
 	readonly failureDomain: string;
 	/** How many processes send to the replicas, this one included. */
-	readonly sharers: number;
+	readonly processCount: number;
 	/** Whether a run that fails may go on at another replica. */
-	readonly canGoElsewhere: boolean;
+	readonly canFailOver: boolean;
 };
 
 /**
@@ -36,7 +36,7 @@
 const rerunCost = 0.5;
 const lossCost = 3;
 
-const failureCost = ({outcomes}: Replica, {now, canGoElsewhere}: ChoiceContext): number => {
+const failureCost = ({outcomes}: Replica, {now, canFailOver: canGoElsewhere}: ChoiceContext): number => {
 	const share = outcomes.failureShare(now);
 	return canGoElsewhere ? (share * rerunCost) + (share * share * lossCost) : share * lossCost;
 };
@@ -53,7 +53,7 @@
 const viewers = 2;
 const fewestLots = 3;
 
-const byLot = (replicas: readonly Replica[], {sharers, random}: ChoiceContext): readonly Replica[] => {
+const byLot = (replicas: readonly Replica[], {processCount: sharers, random}: ChoiceContext): readonly Replica[] => {
 	const lots = Math.max(fewestLots, Math.ceil(viewers * replicas.length / sharers));
 	return lots >= replicas.length
 		? replicas
@@ -88,7 +88,7 @@
 */
 export const chooseForOnline = (replicas: readonly Replica[], context: ChoiceContext): Replica | undefined => {
 	const untried = replicas.filter(({record}) => !context.tried.has(record.id));
-	const trusted = untried.filter(replica => !replica.isDoubted(context.now));
+	const trusted = untried.filter(replica => !replica.isBackedOff(context.now));
 	return leastOf(byLot(trusted.length > 0 ? trusted : untried, context), replica => onlineCost(replica, context));
 };
 
@@ -98,7 +98,7 @@
 @param reserve - Places of each replica that items leave free.
 */
 export const chooseForBatch = (replicas: readonly Replica[], reserve: number, context: ChoiceContext): Replica | undefined => {
-	const open = replicas.filter(replica => !replica.isDoubted(context.now)
+	const open = replicas.filter(replica => !replica.isBackedOff(context.now)
 		&& !replica.isFull(context.now)
 		&& !context.tried.has(replica.record.id)
 		&& replica.total < Math.max(1, replica.record.slots - reserve));
@@ -110,7 +110,7 @@
 
 All processes see about the same load and hear of an online call at about the same time. If each cut its share, rounded up, every one of them would cut an item off for one call: a call came to a full replica and left it half empty, and items that lacked a few events were cut off again and again. So all rank the holders of items for the replica alike, and the first ones give way.
 */
-export const itemsToCut = (replica: Replica, self: MemberName): number => {
+export const itemsToPreempt = (replica: Replica, self: MemberName): number => {
 	const excess = replica.total - replica.record.slots;
 	if (excess <= 0 || replica.batch === 0) {
 		return 0;
--- a/src/gateway/replica-connections.steps.ts
+++ b/src/gateway/replica-connection-pool.steps.ts
@@ -7,9 +7,9 @@
 import {SystemClock} from '../io/system-clock.js';
 import {pauseProcess} from '../io/testing/pause-process.js';
 import {serveOnLoopback} from '../io/testing/serve-on-loopback.js';
-import {ReplicaConnections, type ReplicaConnection} from './replica-connections.js';
+import {ReplicaConnectionPool, type ReplicaConnection} from './replica-connection-pool.js';
 
-type ConnectionsWorld = TestWorld & {connections: ReplicaConnections};
+type ConnectionsWorld = TestWorld & {connections: ReplicaConnectionPool};
 
 const answered = async (connection: ReplicaConnection) => new Promise<void>((resolve, reject) => {
 	connection.dispatch({method: 'GET', path: '/'}, {
@@ -32,18 +32,18 @@
 	const address = await serveOnLoopback(this, (_req, res) => {
 		res.end('ok');
 	});
-	this.connections = this.register(new ReplicaConnections(address, new SystemClock()));
-	await answered(this.connections.take(8)!);
+	this.connections = this.register(new ReplicaConnectionPool(address, new SystemClock()));
+	await answered(this.connections.acquire(8)!);
 	await turn();
 });
 
 When('the process is paused for {int} ms and another request is sent at once', async function (this: ConnectionsWorld, ms: number) {
 	pauseProcess(ms);
-	await answered(this.connections.take(8)!);
+	await answered(this.connections.acquire(8)!);
 });
 
 When('a request that needs a new connection is sent, with {int} allowed', async function (this: ConnectionsWorld, limit: number) {
-	await answered(this.connections.take(limit, true)!);
+	await answered(this.connections.acquire(limit, true)!);
 });
 
 Then('{int} of them is/are open', function (this: ConnectionsWorld, count: number) {
@@ -51,5 +51,5 @@
 });
 
 Then('{int} connections were made', function (this: ConnectionsWorld, count: number) {
-	assert.equal(this.connections.made, count);
+	assert.equal(this.connections.createdCount, count);
 });
--- a/src/gateway/replica-connections.ts
+++ b/src/gateway/replica-connection-pool.ts
@@ -24,7 +24,7 @@
 	/** Since when it has carried no request, in milliseconds on the monotonic clock. */
 	idleSince = Infinity;
 	readonly #client: Client;
-	readonly #siblings: ReplicaConnections;
+	readonly #siblings: ReplicaConnectionPool;
 	readonly #socketWatch = new SocketWatch();
 	#isOver = false;
 	#isNew = true;
@@ -33,7 +33,7 @@
 	@param address - `ip:port`.
 	@param siblings - Hears when the connection can carry no more requests.
 	*/
-	constructor(address: string, siblings: ReplicaConnections) {
+	constructor(address: string, siblings: ReplicaConnectionPool) {
 		this.#siblings = siblings;
 		this.#client = new Client(`http://${address}`, {
 			connect: (options, callback) => {
@@ -50,11 +50,11 @@
 		});
 		this.#client.once('disconnect', () => {
 			this.#isOver = true;
-			siblings.forget(this);
+			siblings.removeConnection(this);
 		});
 	}
 
-	get isOver(): boolean {
+	get isClosed(): boolean {
 		return this.#isOver;
 	}
 
@@ -75,18 +75,18 @@
 	/** The request was answered in full and as it should be: the connection is free for another. */
 	release(): void {
 		this.#isNew = false;
-		this.#siblings.giveBack(this);
+		this.#siblings.returnToPool(this);
 	}
 
 	/** Closes the connection at once, which tells the replica to drop what it runs on it. */
 	discard(): void {
-		this.#siblings.forget(this);
+		this.#siblings.removeConnection(this);
 		this.dispose();
 	}
 
 	/** Closes the idle connections to the same replica: what has gone silent on one may have on all of them. */
-	renewSiblings(): void {
-		this.#siblings.renew();
+	closeIdleSiblings(): void {
+		this.#siblings.closeIdle();
 	}
 
 	dispose(): void {
@@ -96,7 +96,7 @@
 }
 
 /** The connections to one replica. */
-export class ReplicaConnections implements Disposable {
+export class ReplicaConnectionPool implements Disposable {
 	readonly #address: string;
 	readonly #clock: Clock;
 	readonly #all = new Set<ReplicaConnection>();
@@ -116,7 +116,7 @@
 	}
 
 	/** Connections made so far. */
-	get made(): number {
+	get createdCount(): number {
 		return this.#made;
 	}
 
@@ -127,7 +127,7 @@
 	@param mustBeNew - Whether a kept connection will not do.
 	@returns Nothing when all are busy.
 	*/
-	take(limit: number, mustBeNew = false): ReplicaConnection | undefined {
+	acquire(limit: number, mustBeNew = false): ReplicaConnection | undefined {
 		this.#closeOutdated();
 		return mustBeNew ? this.#makeInsteadOfIdle(limit) : this.#idle.pop() ?? this.#make(limit);
 	}
@@ -137,14 +137,14 @@
 
 	It is used again only after the bytes that have already arrived were looked at: a faulty replica may send a second answer behind the first, which must not be taken for that of the next request.
 	*/
-	giveBack(connection: ReplicaConnection): void {
+	returnToPool(connection: ReplicaConnection): void {
 		if (this.#isRetired) {
 			connection.discard();
 			return;
 		}
 
 		setImmediate(() => {
-			if (!connection.isOver && this.#all.has(connection)) {
+			if (!connection.isClosed && this.#all.has(connection)) {
 				connection.idleSince = this.#clock.now();
 				this.#idle.push(connection);
 			}
@@ -152,13 +152,13 @@
 	}
 
 	/** A connection can carry no more requests. */
-	forget(connection: ReplicaConnection): void {
+	removeConnection(connection: ReplicaConnection): void {
 		this.#all.delete(connection);
 		this.#idle = this.#idle.filter(idle => idle !== connection);
 	}
 
 	/** Closes the idle connections. */
-	renew(): void {
+	closeIdle(): void {
 		this.#idle.forEach(connection => {
 			this.#all.delete(connection);
 			connection.dispose();
@@ -167,9 +167,9 @@
 	}
 
 	/** Closes each connection as soon as no request is under way on it: a replica that has left serves those to the end. */
-	retire(): void {
+	drain(): void {
 		this.#isRetired = true;
-		this.renew();
+		this.closeIdle();
 	}
 
 	dispose(): void {
--- a/src/gateway/replica-links.ts
+++ b/src/gateway/replica-connection-pools.ts
@@ -4,7 +4,7 @@
 import type {Clock, Disposable} from '../common/services.js';
 import type {ConfigBoard} from './config-board.js';
 import type {Replica} from './replica.js';
-import {ReplicaConnections, type ReplicaConnection} from './replica-connections.js';
+import {ReplicaConnectionPool, type ReplicaConnection} from './replica-connection-pool.js';
 import type {ReplicaDirectory} from './replica-directory.js';
 import type {ReplicaId} from './types.js';
 
@@ -15,25 +15,25 @@
 const leastConnections = 8;
 
 /** What the links are made of. */
-export type ReplicaLinksParts = {
+export type ReplicaConnectionPoolsParts = {
 	readonly board: ConfigBoard;
 	readonly directory: ReplicaDirectory;
 	readonly clock: Clock;
 	/** How many processes of the gateway send to the replicas, this one included. */
-	readonly sharers: () => number;
+	readonly processCount: () => number;
 };
 
 /** See the module's head. */
-export class ReplicaLinks implements Disposable {
-	readonly #parts: ReplicaLinksParts;
-	readonly #links = new Map<ReplicaId, ReplicaConnections>();
+export class ReplicaConnectionPools implements Disposable {
+	readonly #parts: ReplicaConnectionPoolsParts;
+	readonly #links = new Map<ReplicaId, ReplicaConnectionPool>();
 	#madeByGone = 0;
 
-	constructor(parts: ReplicaLinksParts) {
+	constructor(parts: ReplicaConnectionPoolsParts) {
 		this.#parts = parts;
 		parts.directory.onChange(({replica, change}) => {
 			if (change === 'left') {
-				this.#remove(replica.record.id)?.retire();
+				this.#remove(replica.record.id)?.drain();
 			} else if (change === 'restarted') {
 				// Nobody is left to answer what is under way. A VM that lost its power resets nothing, and callers would wait until the silence is noticed, 1.2 s for calls that may be repeated and to the end of their time for others.
 				this.#remove(replica.record.id)?.dispose();
@@ -42,16 +42,16 @@
 	}
 
 	/** Connections made so far, to all replicas. */
-	get made(): number {
-		return [...this.#links.values()].reduce((sum, {made}) => sum + made, this.#madeByGone);
+	get createdCount(): number {
+		return [...this.#links.values()].reduce((sum, {createdCount: made}) => sum + made, this.#madeByGone);
 	}
 
 	/**
 	@param mustBeNew - Whether a kept connection will not do.
 	@returns Nothing when this process's share of the replica's connections is in use.
 	*/
-	take(replica: Replica, mustBeNew = false): ReplicaConnection | undefined {
-		return this.#connectionsTo(replica).take(this.#shareOf(replica), mustBeNew);
+	acquire(replica: Replica, mustBeNew = false): ReplicaConnection | undefined {
+		return this.#connectionsTo(replica).acquire(this.#shareOf(replica), mustBeNew);
 	}
 
 	dispose(): void {
@@ -61,28 +61,28 @@
 		this.#links.clear();
 	}
 
-	#connectionsTo({record}: Replica): ReplicaConnections {
+	#connectionsTo({record}: Replica): ReplicaConnectionPool {
 		const known = this.#links.get(record.id);
 		if (known) {
 			return known;
 		}
 
-		const connections = new ReplicaConnections(record.address, this.#parts.clock);
+		const connections = new ReplicaConnectionPool(record.address, this.#parts.clock);
 		this.#links.set(record.id, connections);
 		return connections;
 	}
 
 	/** A replica resets connections beyond its limit, and with them requests that others have under way. */
 	#shareOf({record}: Replica): number {
-		const {board, sharers} = this.#parts;
+		const {board, processCount: sharers} = this.#parts;
 		const all = board.service(record.service)?.maxConnections ?? defaultMaxConnections;
 		return Math.max(leastConnections, Math.floor(all / Math.max(1, sharers())));
 	}
 
-	#remove(id: ReplicaId): ReplicaConnections | undefined {
+	#remove(id: ReplicaId): ReplicaConnectionPool | undefined {
 		const connections = this.#links.get(id);
 		this.#links.delete(id);
-		this.#madeByGone += connections?.made ?? 0;
+		this.#madeByGone += connections?.createdCount ?? 0;
 		return connections;
 	}
 }
--- a/src/gateway/replica-directory.steps.ts
+++ b/src/gateway/replica-directory.steps.ts
@@ -38,7 +38,7 @@
 
 const tell = (world: DirectoryWorld, peer: string, {online, replica, startedAt}: {online: number; replica: string; startedAt: number}) => {
 	world.seq += 1;
-	world.peers.take(stateOf(peer, world.seq, {
+	world.peers.receive(stateOf(peer, world.seq, {
 		loads: [{
 			replica: branded<ReplicaId>(replica), startedAt, online, batch: 0,
 		}],
@@ -57,7 +57,7 @@
 		self: branded<MemberName>('front-1'), directory: this.directory, loads, quarantine: new Quarantine({clock: new SystemClock(), log}), clock: new SystemClock(), log,
 	});
 	this.seq = 0;
-	this.ends = Array.from({length: own}, () => loads.take(replicaOf(this, id), 'online'));
+	this.ends = Array.from({length: own}, () => loads.acquireSlot(replicaOf(this, id), 'online'));
 	tell(this, peer, {online: others, replica: id, startedAt});
 	assert.equal(replicaOf(this, id).total, own + others);
 });
@@ -66,7 +66,7 @@
 	Array.from({length: times}).forEach(() => {
 		replicaOf(this, id).noteFailure(0);
 	});
-	assert.ok(replicaOf(this, id).isDoubted(100));
+	assert.ok(replicaOf(this, id).isBackedOff(100));
 });
 
 When('{string} is registered as started at {int}', function (this: DirectoryWorld, id: string, startedAt: number) {
@@ -85,7 +85,7 @@
 
 When('peer {string} tells of {int} failure(s) in {int} requests at {string} started at {int}', function (this: DirectoryWorld, peer: string, failures: number, requests: number, replica: string, startedAt: number) {
 	this.seq += 1;
-	this.peers.take(stateOf(peer, this.seq, {
+	this.peers.receive(stateOf(peer, this.seq, {
 		outcomes: [{
 			replica: branded<ReplicaId>(replica), startedAt, requests, failures,
 		}],
@@ -102,7 +102,7 @@
 });
 
 Then('{string} is trusted', function (this: DirectoryWorld, id: string) {
-	assert.equal(replicaOf(this, id).isDoubted(100), false);
+	assert.equal(replicaOf(this, id).isBackedOff(100), false);
 });
 
 Then('the directory told {string} of {string}', function (this: DirectoryWorld, changes: string, _id: string) {
--- a/src/gateway/may-send-to.ts
+++ b/src/gateway/replica-eligibility.ts
@@ -6,5 +6,5 @@
 import type {ReplicaDirectory} from './replica-directory.js';
 
 /** By the registrations as they are known at this moment, unless those are too old. */
-export const maySendTo = ({replicaFreshness, directory}: {readonly replicaFreshness: FeedFreshness; readonly directory: ReplicaDirectory}, replica: Replica): boolean =>
+export const isEligible = ({replicaFreshness, directory}: {readonly replicaFreshness: FeedFreshness; readonly directory: ReplicaDirectory}, replica: Replica): boolean =>
 	replicaFreshness.isFresh && directory.takesWork(replica);
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -31,9 +31,9 @@
 	readonly outcomes = new RecentOutcomes();
 	/** When something last came from it, on any connection, and when a connection made for the question last showed that it can be reached; in milliseconds on the monotonic clock. */
 	heardAt = -Infinity;
-	reachedAt = -Infinity;
+	probeSucceededAt = -Infinity;
 	/** Since when its registration has been missing, in milliseconds on the monotonic clock; `undefined` while it is there. */
-	missedAt: number | undefined;
+	missingSince: number | undefined;
 	readonly #peers = new Map<MemberName, ReplicaLoad>();
 	#peerOnline = 0;
 	#peerBatch = 0;
@@ -66,7 +66,7 @@
 	}
 
 	/** Takes over what a peer says it has in flight here. */
-	notePeer(peer: MemberName, load: ReplicaLoad = nothing): void {
+	setPeerLoad(peer: MemberName, load: ReplicaLoad = nothing): void {
 		const before = this.#peers.get(peer) ?? nothing;
 		this.#peerOnline += load.online - before.online;
 		this.#peerBatch += load.batch - before.batch;
@@ -78,7 +78,7 @@
 	}
 
 	/** @param now - Milliseconds on the monotonic clock. */
-	isDoubted(now: number): boolean {
+	isBackedOff(now: number): boolean {
 		return now < this.#doubtedUntil;
 	}
 
--- a/src/gateway/service-times.steps.ts
+++ b/src/gateway/service-times.steps.ts
@@ -23,7 +23,7 @@
 Given('calls of a service take {int} ms', function (this: TimesWorld, ms: number) {
 	this.times = new ServiceTimes();
 	Array.from({length: many}).forEach(() => {
-		this.times.note(service, ms);
+		this.times.recordDuration(service, ms);
 	});
 });
 
--- a/src/gateway/service-times.ts
+++ b/src/gateway/service-times.ts
@@ -15,7 +15,7 @@
 	readonly #times = new Map<GatewayServiceName, ExpectedTime>();
 
 	/** A call that found a free place was answered whole after so many milliseconds. */
-	note(service: GatewayServiceName, ms: number): void {
+	recordDuration(service: GatewayServiceName, ms: number): void {
 		const time = this.#times.get(service) ?? new ExpectedTime();
 		time.observe(ms);
 		this.#times.set(service, time);
--- a/src/gateway/testing/batch-wave-model.ts
+++ b/src/gateway/testing/batch-wave-model.ts
@@ -5,7 +5,7 @@
 */
 import type {RandomSource} from '../../common/services.js';
 import {
-	allowance, assumedRunLength, byUrgency, countWaiting, learn, learnStretch, type RunLength, type WaitingItem,
+	slotAllowance, initialRunEstimate, byUrgency, countWaiting, updateEstimate, updateSlowdown, type RunEstimate, type WaitingItem,
 } from '../batch/batch-policy.js';
 
 /** The load. */
@@ -18,11 +18,11 @@
 	/** Decides the rest, so that two plays have the same jobs. */
 	readonly draws?: RandomSource;
 	/** Whether interruptions are learnt. */
-	readonly isStretchLearnt: boolean;
+	readonly isSlowdownEstimated: boolean;
 	/** Processes among which the jobs are spread by lot. */
 	readonly processes?: number;
 	/** Whether each takes places by how many items wait at it and at the others, and not an equal share. */
-	readonly isCompared?: boolean;
+	readonly isProportional?: boolean;
 };
 
 type Item = WaitingItem & {
@@ -52,14 +52,14 @@
 export class BatchWaveModel {
 	readonly #wave: BatchWave;
 	#items: Item[] = [];
-	#length: RunLength;
+	#length: RunEstimate;
 	#nextAt = 0;
 	#onTime = 0;
 	#due = 0;
 
 	constructor(wave: BatchWave) {
 		this.#wave = wave;
-		this.#length = wave.isStretchLearnt ? assumedRunLength : {...assumedRunLength, stretch: 1, stretchDeviation: 0};
+		this.#length = wave.isSlowdownEstimated ? initialRunEstimate : {...initialRunEstimate, slowdown: 1, slowdownDeviation: 0};
 	}
 
 	/** @returns The share of items that were done by their time. */
@@ -99,13 +99,13 @@
 
 	/** Each process fills its part of the free places with the most urgent of its items. */
 	#share(free: number, now: number) {
-		const {processes = 1, random, draws = random, isCompared = true} = this.#wave;
+		const {processes = 1, random, draws = random, isProportional: isCompared = true} = this.#wave;
 		const waiting = this.#items.filter(({isRunning}) => !isRunning).toSorted(byUrgency(this.#length, now));
 		const byProcess = Array.from({length: processes}, (_, own) => waiting.filter(({process}) => process === own)).filter(({length}) => length > 0);
 		const all = countWaiting(waiting, this.#length, now);
 		byProcess.forEach(items => {
 			const counts = isCompared ? {own: countWaiting(items, this.#length, now), all} : {own: equalPart, all: {timely: byProcess.length * equalPart.timely, late: 0}};
-			items.slice(0, allowance(free, counts, draws.next())).forEach(item => {
+			items.slice(0, slotAllowance(free, counts, draws.next())).forEach(item => {
 				item.isRunning = true;
 				item.begunAt ??= now;
 			});
@@ -126,7 +126,7 @@
 	}
 
 	#learn({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
-		const length = learn(this.#length, {events: total, elapsedMs: ranMs, total});
-		this.#length = this.#wave.isStretchLearnt && now <= dueAt ? learnStretch(length, {elapsedMs: now - begunAt, ranMs}) : length;
+		const length = updateEstimate(this.#length, {events: total, elapsedMs: ranMs, total});
+		this.#length = this.#wave.isSlowdownEstimated && now <= dueAt ? updateSlowdown(length, {elapsedMs: now - begunAt, ranMs}) : length;
 	}
 }
--- a/src/gateway/testing/crash-model.ts
+++ b/src/gateway/testing/crash-model.ts
@@ -11,7 +11,7 @@
 	readonly poison: number;
 	readonly perSecond: number;
 	/** Replicas that may end under a request before it is held back. */
-	readonly enoughCrashes: number;
+	readonly crashThreshold: number;
 	readonly random: RandomSource;
 	/** How a crash counts against the requests that were there; `each` by default. */
 	readonly blame?: Blame;
@@ -87,7 +87,7 @@
 		this.#load = load;
 	}
 
-	play(): PoisonOutcome {
+	simulate(): PoisonOutcome {
 		const {poison, perSecond, random} = this.#load;
 		Array.from({length: poison}).forEach((_, i) => {
 			this.#due.push({at: 1000 + (700 * i), request: this.#request(`poison ${i}`, true)});
@@ -137,7 +137,7 @@
 
 	#isHeld({content}: Request): boolean {
 		const suspicion = this.#suspicions.get(content);
-		const excess = (suspicion?.weight ?? 0) - this.#load.enoughCrashes;
+		const excess = (suspicion?.weight ?? 0) - this.#load.crashThreshold;
 		return suspicion !== undefined && excess >= 0 && this.#now < suspicion.lastCrashAt + (firstHoldMs * (2 ** Math.floor(excess)));
 	}
 
--- a/src/gateway/testing/grey-model.ts
+++ b/src/gateway/testing/grey-failure-model.ts
@@ -10,7 +10,7 @@
 import type {GatewayServiceName, ReplicaId} from '../types.js';
 
 /** The load and the fault. */
-export type GreyFault = {
+export type GreyFailure = {
 	readonly replicas: number;
 	readonly slots: number;
 	readonly perSecond: number;
@@ -18,17 +18,17 @@
 	readonly failing: number;
 	readonly random: RandomSource;
 	/** Whether outcomes are noted. */
-	readonly isNoted: boolean;
+	readonly areOutcomesRecorded: boolean;
 	/** When the fault ends, in milliseconds. */
 	readonly endsAt?: number;
 };
 
 /** What came of it. */
-export type GreyOutcome = {
+export type GreyFailureOutcome = {
 	/** Share of all calls that failed. */
 	readonly failed: number;
 	/** Share of the calls of the last 5 s that went to the first replica. */
-	readonly atLast: number;
+	readonly shareAtEnd: number;
 };
 
 const lengthMs = 30_000;
@@ -37,7 +37,7 @@
 const failureMs = 2;
 
 /** @returns What came of the calls. */
-export const playGreyFault = ({replicas, slots, perSecond, failing, random, isNoted, endsAt = Infinity}: GreyFault): GreyOutcome => {
+export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded: isNoted, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
 	const all = Array.from({length: replicas}, (_, i) => new Replica({
 		id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 	}));
@@ -55,7 +55,7 @@
 		});
 		running = running.filter(run => run.endsAt > now);
 		const replica = chooseForOnline(all, {
-			now, random, tried: new Set(), failureDomain: 'hall', sharers: 1, canGoElsewhere: false,
+			now, random, tried: new Set(), failureDomain: 'hall', processCount: 1, canFailOver: false,
 		})!;
 		const hasFailed = replica === grey && now < endsAt && random.next() < failing;
 		replica.online += 1;
@@ -67,5 +67,5 @@
 		counts.lastAtGrey += now >= lengthMs - lastMs && replica === grey ? 1 : 0;
 	}
 
-	return {failed: counts.failed / counts.calls, atLast: counts.lastAtGrey / counts.last};
+	return {failed: counts.failed / counts.calls, shareAtEnd: counts.lastAtGrey / counts.last};
 };
--- a/src/gateway/testing/rate-limit-model.ts
+++ b/src/gateway/testing/rate-limit-model.ts
@@ -7,7 +7,7 @@
 import type {ClientAccountName, MemberName, RateLimit} from '../types.js';
 
 /** How the processes share a limit. `told`: each hears of the others' admissions. `parts`: each has an equal part to itself. `authority`: one process hands credit out to the others, some calls ahead. */
-export type SharingWay = 'told' | 'parts' | 'authority';
+export type SharingStrategy = 'told' | 'parts' | 'authority';
 
 /** The fleet and its load. */
 export type RateLimitLoad = {
@@ -18,7 +18,7 @@
 	/** The share of the calls that comes to the first process; the others get equal parts of the rest. An equal part by default. */
 	readonly firstShare?: number;
 	readonly random: RandomSource;
-	readonly way: SharingWay;
+	readonly strategy: SharingStrategy;
 	/** Within these milliseconds, the last so many processes neither hear the others nor are heard. */
 	readonly cut?: {readonly processes: number; readonly from: number; readonly until: number};
 	/** All processes are started anew at this moment, in milliseconds. */
@@ -28,7 +28,7 @@
 /** What came of it. */
 export type RateLimitOutcome = {
 	/** The most calls that were admitted within any window. */
-	readonly mostInWindow: number;
+	readonly maxInWindow: number;
 	/** Admitted calls, of those that the limit allows over the whole time or that came, whichever is less. */
 	readonly servedShare: number;
 	/** Messages that one process sends in a second, on the mean. */
@@ -125,7 +125,7 @@
 		this.#timeline.run(lengthMs);
 		const allowed = (limit.perSecond * lengthMs / 1000) + limit.burst;
 		return {
-			mostInWindow: this.#mostInWindow(),
+			maxInWindow: this.#mostInWindow(),
 			servedShare: this.#admittedAt.length / Math.min(this.#asked, allowed),
 			messagesPerSecond: this.#messages / processes / (lengthMs / 1000),
 			bytesPerSecond: this.#bytes / processes / (lengthMs / 1000),
@@ -133,12 +133,12 @@
 	}
 
 	#start() {
-		const ways: Readonly<Record<SharingWay, () => Decider[]>> = {
+		const ways: Readonly<Record<SharingStrategy, () => Decider[]>> = {
 			told: () => this.#startTold(),
 			parts: () => this.#startParts(),
 			authority: () => this.#startAuthority(),
 		};
-		this.#deciders = ways[this.#load.way]();
+		this.#deciders = ways[this.#load.strategy]();
 	}
 
 	#planCalls() {
@@ -207,12 +207,12 @@
 		const startedAt = this.#timeline.now;
 		const heardBy = (process: number): ReadonlySet<MemberName> => new Set(names.filter((_, i) => i !== process && !this.#isCutOff(i) && !this.#isCutOff(process)));
 		const limits = names.map((_, process) => new RateLimits({
-			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registered: () => processes, livePeers: () => heardBy(process),
+			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registeredCount: () => processes, livePeers: () => heardBy(process),
 		}));
 		return limits.map((own, process) => ({
 			admit: () => 'credit' in own.admit({name: account, accountKeys: [], rateLimit: limit}),
 			tell: () => {
-				const accountUsage = own.news();
+				const accountUsage = own.announcement();
 				if (accountUsage.length === 0) {
 					return 0;
 				}
@@ -221,7 +221,7 @@
 				limits.forEach((other, to) => {
 					if (to !== process) {
 						this.#send(process, to, bytes, () => {
-							other.take({member: names[process]!, startedAt, accountUsage}, () => limit);
+							other.receiveUsage({member: names[process]!, startedAt, accountUsage}, () => limit);
 						});
 					}
 				});
@@ -235,7 +235,7 @@
 		const limit = {perSecond: perSecond / processes, burst: burst / processes};
 		return Array.from({length: processes}, () => {
 			const own = new RateLimits({
-				clock: this.#clock, log: silentLog, tolerance: modelTolerance / processes, registered: () => 1, livePeers: () => new Set(),
+				clock: this.#clock, log: silentLog, tolerance: modelTolerance / processes, registeredCount: () => 1, livePeers: () => new Set(),
 			});
 			return {admit: () => 'credit' in own.admit({name: account, accountKeys: [], rateLimit: limit})};
 		});
@@ -299,4 +299,4 @@
 }
 
 /** Plays the load. */
-export const playRateLimit = (load: RateLimitLoad): RateLimitOutcome => new RateLimitModel(load).run();
+export const simulateRateLimit = (load: RateLimitLoad): RateLimitOutcome => new RateLimitModel(load).run();
--- a/src/gateway/testing/registrations.ts
+++ b/src/gateway/testing/registrations.ts
@@ -21,4 +21,4 @@
 } as unknown as ReplicaRecord);
 
 /** The names of the replicas that a process knows, in their order. */
-export const knownReplicas = (directory: ReplicaDirectory): string[] => [...directory.all].map(({record}) => record.id as string).toSorted((a, b) => (a < b ? -1 : 1));
+export const registeredReplicas = (directory: ReplicaDirectory): string[] => [...directory.all].map(({record}) => record.id as string).toSorted((a, b) => (a < b ? -1 : 1));
--- a/src/gateway/testing/wave-model.ts
+++ b/src/gateway/testing/wave-model.ts
@@ -18,24 +18,24 @@
 	/** Calls a second over all processes, on the mean. */
 	readonly perSecond: number;
 	/** For how long each process gathers news before it tells them, in milliseconds. */
-	readonly gatherMs: number;
+	readonly announceEveryMs: number;
 	readonly random: RandomSource;
 	/** How many sharers the choice is told of, where it is not the number of processes: 1 makes it look at all replicas. */
-	readonly sharersTold?: number;
+	readonly assumedProcessCount?: number;
 	/** Half of the replicas lose this share of their answers, right after they began; the calls go on elsewhere. */
-	readonly losing?: number;
+	readonly lossShare?: number;
 	/** What a failure tells the choice: its share of the requests, or, as a mere count would, that all fail. */
-	readonly judges?: 'share' | 'count';
+	readonly lossAccounting?: 'share' | 'count';
 	/** The last so many replicas are added, empty, within the second wave. */
-	readonly joining?: number;
+	readonly addedReplicas?: number;
 };
 
 /** What replicas that are added get in their first second. */
-export type JoinOutcome = {
+export type AddedReplicasOutcome = {
 	/** Calls at each, of those at each of the others; 1 is an equal part. */
-	readonly part: number;
+	readonly callRatio: number;
 	/** The most calls at one of them at a time, queue included. */
-	readonly most: number;
+	readonly maxCalls: number;
 };
 
 type Call = {readonly from: number; readonly arrivedAt: number; readonly isRerun: boolean};
@@ -91,7 +91,7 @@
 
 	/** Where replicas are added, only until their first second is over. @returns The share of calls that waited too long for a place. */
 	run(): number {
-		const {processes, gatherMs, random, joining} = this.#wave;
+		const {processes, announceEveryMs: gatherMs, random, addedReplicas: joining} = this.#wave;
 		const endsAt = joining ? joinAt + joinWatchMs : lengthMs;
 		this.#views.forEach((_, process) => {
 			this.#at(random.next() * gatherMs, () => {
@@ -111,10 +111,10 @@
 	}
 
 	/** What the replicas that were added got. Call it after `run`. */
-	get joined(): JoinOutcome {
-		const {replicas, joining = 0} = this.#wave;
+	get joined(): AddedReplicasOutcome {
+		const {replicas, addedReplicas: joining = 0} = this.#wave;
 		const {atJoined, elsewhere} = this.#callsOfFirstSecond;
-		return {part: (atJoined / joining) / (elsewhere / (replicas - joining)), most: this.#mostAtJoined};
+		return {callRatio: (atJoined / joining) / (elsewhere / (replicas - joining)), maxCalls: this.#mostAtJoined};
 	}
 
 	#arrive(process: number) {
@@ -127,12 +127,12 @@
 	}
 
 	#send(call: Call) {
-		const {processes, random, sharersTold = processes} = this.#wave;
-		const {replicas, joining = 0} = this.#wave;
+		const {processes, random, assumedProcessCount: sharersTold = processes} = this.#wave;
+		const {replicas, addedReplicas: joining = 0} = this.#wave;
 		const known = this.#now < joinAt ? replicas - joining : replicas;
 		const view = this.#views[call.from]!.slice(0, known);
 		const chosen = chooseForOnline(view, {
-			now: this.#now, random, tried: new Set(), failureDomain: 'hall', sharers: sharersTold, canGoElsewhere: true,
+			now: this.#now, random, tried: new Set(), failureDomain: 'hall', processCount: sharersTold, canFailOver: true,
 		})!;
 		chosen.online += 1;
 		const index = view.indexOf(chosen);
@@ -145,7 +145,7 @@
 			return;
 		}
 
-		const {replicas, joining = 0} = this.#wave;
+		const {replicas, addedReplicas: joining = 0} = this.#wave;
 		const isJoined = replica >= replicas - joining;
 		this.#callsOfFirstSecond[isJoined ? 'atJoined' : 'elsewhere'] += 1;
 		if (isJoined) {
@@ -187,12 +187,12 @@
 	}
 
 	#losesAnswer(replica: number): boolean {
-		const {losing = 0, random, replicas} = this.#wave;
+		const {lossShare: losing = 0, random, replicas} = this.#wave;
 		return losing > 0 && replica < replicas / 2 && random.next() < losing;
 	}
 
 	#noteOutcome({outcomes}: Replica, hasFailed: boolean) {
-		if (hasFailed || this.#wave.judges !== 'count') {
+		if (hasFailed || this.#wave.lossAccounting !== 'count') {
 			outcomes.note(hasFailed, this.#now);
 		}
 	}
@@ -202,18 +202,18 @@
 		this.#outcomesToldAt[process] = isOutcomesTold ? this.#now : this.#outcomesToldAt[process]!;
 		const member = branded<MemberName>(`front-${process}`);
 		const told = this.#views[process]!.map(({online, outcomes}) => ({
-			online, outcomes: isOutcomesTold && outcomes.failureShare(this.#now) > 0 ? outcomes.own(this.#now) : undefined,
+			online, outcomes: isOutcomesTold && outcomes.failureShare(this.#now) > 0 ? outcomes.ownCounts(this.#now) : undefined,
 		}));
 		this.#views.filter((_, other) => other !== process).forEach(view => {
 			view.forEach((replica, i) => {
 				const {online, outcomes} = told[i]!;
-				replica.notePeer(member, {online, batch: 0});
+				replica.setPeerLoad(member, {online, batch: 0});
 				if (outcomes) {
-					replica.outcomes.takePeer(member, outcomes, this.#now);
+					replica.outcomes.receivePeerCounts(member, outcomes, this.#now);
 				}
 			});
 		});
-		this.#at(this.#now + this.#wave.gatherMs, () => {
+		this.#at(this.#now + this.#wave.announceEveryMs, () => {
 			this.#tell(process);
 		});
 	}
--- a/src/io/config-asker.ts
+++ b/src/io/config-asker.ts
@@ -1,7 +1,7 @@
 /**
 Asks another node for configuration over JSON-RPC.
 */
-import type {AskNode} from '../common/config-bootstrap.js';
+import type {PollNode} from '../common/config-bootstrap.js';
 import {pollTimeoutMs, pollWaitMs, type ConfigAnswer} from '../common/config-protocol.js';
 import type {RpcClient} from './rpc-client.js';
 
@@ -9,7 +9,7 @@
 export const configChangesMethod = 'config.changes';
 
 /** Makes the function that polls a node by its address. */
-export const configAsker = (rpc: RpcClient): AskNode => async (address, poll) => {
+export const configAsker = (rpc: RpcClient): PollNode => async (address, poll) => {
 	const timeoutMs = poll.waitMs + (pollTimeoutMs - pollWaitMs);
 	return rpc.call<ConfigAnswer>({address, timeoutMs}, configChangesMethod, poll);
 };
--- a/src/io/datagram-channel.ts
+++ b/src/io/datagram-channel.ts
@@ -5,7 +5,7 @@
 import {createSocket, type Socket} from 'node:dgram';
 import {createJSONRPCNotification, isJSONRPCRequest} from 'json-rpc-2.0';
 import {Left, Right, type Either} from 'purify-ts/Either';
-import {messageTests} from '../common/message-tests.js';
+import {messageValidators} from '../common/message-validators.js';
 import type {Disposable} from '../common/services.js';
 import {formatAddress, parseAddress} from './address.js';
 import {exitCodes} from './exit-codes.js';
@@ -95,7 +95,7 @@
 		const message = parsed(bytes);
 		const method = isJSONRPCRequest(message) ? message.method : '';
 		const params: unknown = isJSONRPCRequest(message) ? message.params : undefined;
-		if (!this.#handlers[method] || messageTests[method]?.(params) !== true) {
+		if (!this.#handlers[method] || messageValidators[method]?.(params) !== true) {
 			this.#refused += 1;
 			return;
 		}
--- a/src/io/http-vm-list.ts
+++ b/src/io/http-vm-list.ts
@@ -3,14 +3,14 @@
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import {
-	isText, listOf, objectOf, oneOf,
-} from '../common/field-tests.js';
+	isNonEmptyString, listOf, objectOf, oneOf,
+} from '../common/field-validators.js';
 import type {VmList} from '../common/services.js';
 import type {ApiError, VmEntry} from '../common/types.js';
 import type {HttpClient, HttpFailure, HttpResponse} from './http-client.js';
 
 const areVms = listOf(objectOf({
-	name: isText, role: oneOf('entry', 'backend'), address: isText, failureDomain: isText, state: oneOf('live', 'leaving'),
+	name: isNonEmptyString, role: oneOf('entry', 'backend'), address: isNonEmptyString, failureDomain: isNonEmptyString, state: oneOf('live', 'leaving'),
 }));
 
 /** See {@link VmList}. */
--- a/src/io/rpc-route.ts
+++ b/src/io/rpc-route.ts
@@ -3,7 +3,7 @@
 */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {JSONRPCErrorCode, JSONRPCErrorException, JSONRPCServer} from 'json-rpc-2.0';
-import {messageTests} from '../common/message-tests.js';
+import {messageValidators} from '../common/message-validators.js';
 import {readBody} from './read-body.js';
 import type {Route} from './http-server.js';
 
@@ -23,13 +23,13 @@
 /**
 Makes the route that serves the methods.
 
-@returns A route for {@link HttpServer}. Bad input, parameters that fail their test in {@link messageTests} included, is answered by JSON-RPC's own errors.
+@returns A route for {@link HttpServer}. Bad input, parameters that fail their test in {@link messageValidators} included, is answered by JSON-RPC's own errors.
 */
 export const rpcRoute = (methods: RpcMethods): Route => {
 	const server = new JSONRPCServer({errorListener: () => undefined});
 	Object.entries(methods).forEach(([name, method]) => {
 		server.addMethod(name, params => {
-			if (messageTests[name]?.(params) === false) {
+			if (messageValidators[name]?.(params) === false) {
 				throw new JSONRPCErrorException('malformed parameters', JSONRPCErrorCode.InvalidParams);
 			}
 
