--- a/src/entry/lost-attempts.steps.ts
+++ b/src/entry/lost-attempts.steps.ts
@@ -52,7 +52,7 @@
 	log: {emit: () => undefined},
 	metrics: new NoMetrics(),
 	replicas: {
-		began: () => undefined, ended: () => undefined, failed: () => undefined, heard: () => undefined, prefixes: {confirmed: () => undefined},
+		began: () => undefined, ended: () => undefined, failed: () => undefined, applyReport: () => undefined, prefixes: {confirmed: () => undefined},
 	},
 	router: {
 		route({tried}: RouteRequest) {
--- a/src/gateway/feed-freshness.steps.ts
+++ b/src/gateway/feed-freshness.steps.ts
@@ -42,7 +42,7 @@
 		get revision() {
 			return world.revision;
 		},
-		async readAnew() {
+		async syncOnNewConnection() {
 			world.reads += 1;
 			return world.read();
 		},
