--- a/src/gateway/accounts/account-table.ts
+++ b/src/gateway/accounts/account-table.ts
@@ -1,11 +1,11 @@
 /**
-The client accounts of one version of the configuration, by API key. Never changes: another version is another table.
+The client accounts of one version of the configuration, by API key. The table is immutable; another version of the configuration has a table of its own.
 */
 import type {ClientAccount, ClientAccountName} from '../types.js';
 
 /** See the module's head. */
 export class AccountTable {
-	/** Accounts that share a key with another one. The key identifies neither, and is refused. */
+	/** Accounts that share a key with another one. The key identifies neither, and is rejected. */
 	readonly conflicts: readonly ClientAccountName[];
 	readonly #byKey: ReadonlyMap<string, ClientAccount>;
 
--- a/src/gateway/accounts/caller-gate.ts
+++ b/src/gateway/accounts/caller-gate.ts
@@ -11,10 +11,10 @@
 import {identify, type KeyRefusal} from './identify.js';
 import type {RateCredit, RateLimits} from './rate-limits.js';
 
-/** What the gate reads of a call. */
+/** The parts of a call that the gate reads. */
 export type CallHead = {
 	readonly id: string;
-	/** Names and values by turns. */
+	/** Alternating names and values. */
 	readonly headers: readonly string[];
 };
 
@@ -38,7 +38,7 @@
 
 type RefusalReason = KeyRefusal | 'stale' | 'limit';
 
-/** What the gate needs. */
+/** Dependencies of the gate. */
 export type CallerGateParts = {
 	readonly board: ConfigBoard;
 	readonly dialect: CallDialect;
@@ -52,7 +52,7 @@
 	readonly staleAfterMs: number | undefined;
 };
 
-/** Retry-After while the configuration is stale: it is read several times a second; in milliseconds. */
+/** Retry-After while the configuration is stale, in milliseconds: it is read several times a second. */
 const staleRetryMs = 500;
 
 /** See the module's head. */
--- a/src/gateway/accounts/identify.ts
+++ b/src/gateway/accounts/identify.ts
@@ -23,7 +23,7 @@
 An invalid key is rejected on anonymous routes too: its caller expects to be authenticated, and would otherwise be served anonymously without noticing.
 
 @param mayBeAnonymous - Whether the route takes calls without a key.
-@returns The account, or nothing for an anonymous call.
+@returns The account, or `undefined` for an anonymous call.
 */
 export const identify = (table: AccountTable, presented: PresentedKey, mayBeAnonymous: boolean): Either<KeyRefusal, ClientAccount | undefined> =>
 	(decisions[presented.kind] as (table: AccountTable, presented: PresentedKey, mayBeAnonymous: boolean) => Either<KeyRefusal, ClientAccount | undefined>)(table, presented, mayBeAnonymous);
--- a/src/gateway/accounts/rate-limits.ts
+++ b/src/gateway/accounts/rate-limits.ts
@@ -13,19 +13,19 @@
 /** Usage is repeated in each announcement for this long after a change, in milliseconds: single messages are lost. */
 const repeatedForMs = 800;
 
-/** What a peer admitted so long before this process started may still count, in milliseconds. */
+/** Calls that a peer admitted up to this long before this process started may still count, in milliseconds. */
 const countedBeforeMs = 5000;
 
-/** An account without calls for so long is forgotten, in milliseconds; its bucket is full by then. */
+/** The bucket of an account without calls for this long, in milliseconds, is removed; it is full by then. */
 const forgottenMs = 60_000;
 
-/** An account that is over its limit is logged this often, in milliseconds, besides each call that is refused. */
+/** Interval at which an account over its limit is logged, in milliseconds, in addition to each rejected call. */
 const reportEveryMs = 1000;
 
-/** Registered processes that were never seen count as taking their share for this long after the start, in milliseconds; entries of VMs that are gone stay longer. */
+/** Registered processes that were never seen are assumed to use their share for this long after the start, in milliseconds; the records of removed VMs stay longer. */
 const unknownForMs = 30_000;
 
-/** What the limits need. */
+/** Dependencies of the limits. */
 export type RateLimitsParts = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -37,13 +37,13 @@
 	readonly livePeers: () => ReadonlySet<MemberName>;
 };
 
-/** What an admitted call holds. */
+/** The token that an admitted call has used. */
 export type RateCredit = {
-	/** The call was refused after all, and has run nowhere. */
+	/** Returns the token of a call that was rejected later without having run. */
 	refund(): void;
 };
 
-/** A call is admitted, or may come back later. */
+/** A call is admitted, or may be retried later. */
 export type LimitDecision = {readonly credit: RateCredit} | {readonly retryAfterMs: number};
 
 type Refusals = {count: number; reportedAt: number};
--- a/src/gateway/accounts/rate-meter.ts
+++ b/src/gateway/accounts/rate-meter.ts
@@ -1,8 +1,8 @@
 /**
-How often something has happened of late: a count that fades exponentially.
+Measures the recent rate of an event by a count that decays exponentially.
 */
 
-/** The time over which the count fades to about a third, in milliseconds. */
+/** The time over which the count decays to about a third, in milliseconds. */
 const fadeMs = 1000;
 
 /** See the module's head. Times are milliseconds on the monotonic clock. */
--- a/src/gateway/accounts/shared-bucket.ts
+++ b/src/gateway/accounts/shared-bucket.ts
@@ -7,16 +7,16 @@
 import type {AccountUsage} from './account-usage.js';
 import {RateMeter} from './rate-meter.js';
 
-/** How old the peers' announcements are at most, usually, in seconds. */
+/** Usual maximum age of the peers' announcements, in seconds. */
 const newsLagS = 0.2;
 
-/** Near the limit, what is left of the burst is handed out over about this long, in seconds. */
+/** Near the limit, the rest of the burst is spent over about this long, in seconds. */
 const burstSpreadS = 0.5;
 
-/** Of its part, a process may save up what comes in this long, in seconds, and one call at the least. */
+/** A process may save up the refill of its share over this long, in seconds, and at least one call. */
 const savedS = 0.25;
 
-/** A silent peer is assumed to go on admitting calls at its last rate for this long, in milliseconds: it may be partitioned and alive. */
+/** An unresponsive peer is assumed to continue admitting calls at its last rate for this long, in milliseconds: it may be partitioned and alive. */
 const silentPeerMs = 30_000;
 
 /** The part of the tolerance by which the estimate may be overdrawn: a process that has just started assumes an empty bucket. The rest covers late announcements. */
@@ -34,7 +34,7 @@
 	readonly rate: RateMeter;
 };
 
-/** What the bucket needs to know of the peers. */
+/** State of the peers on which the bucket's decisions depend. */
 export type Membership = {
 	/** Registered processes that were never seen, as a share of all. */
 	readonly unknownShare: number;
@@ -44,7 +44,7 @@
 	isLivePeer(peer: MemberName): boolean;
 };
 
-/** What was decided on a call. */
+/** The decision on a call. */
 export type Admission = {readonly isAdmitted: true} | {readonly isAdmitted: false; readonly retryAfterMs: number};
 
 /** See the module's head. Times are milliseconds on the monotonic clock. */
@@ -86,7 +86,7 @@
 		return this.#ownChangedAt;
 	}
 
-	/** Calls that may still come at once, as far as is known; below zero while too many have. */
+	/** Estimate of the calls that may still be admitted at once; negative while too many have been. */
 	get level(): number {
 		return this.#level;
 	}
@@ -113,7 +113,7 @@
 		return {isAdmitted: true};
 	}
 
-	/** An admitted call was refused after all, and has run nowhere. */
+	/** Returns the token of an admitted call that was rejected later without having run. */
 	refund(now: number): void {
 		this.#admitted -= 1;
 		this.#ownChangedAt = now;
@@ -130,7 +130,7 @@
 			admitted: isNewPeer ? 0 : admitted, asked: isNewPeer ? 0 : asked, announcedAt: now, rate: new RateMeter(),
 		};
 		this.#peers.set(peer, known);
-		// Fewer calls than before: the peer has started again, or has forgotten an account that was idle.
+		// Fewer calls than before: the peer has restarted, or has removed an account that was idle.
 		const hasStartedAnew = asked < known.asked;
 		const newlyAdmitted = hasStartedAnew ? admitted : admitted - known.admitted;
 		const newlyAsked = hasStartedAnew ? asked : asked - known.asked;
--- a/src/gateway/contacts/expected-time.ts
+++ b/src/gateway/contacts/expected-time.ts
@@ -1,15 +1,15 @@
 /**
-How long something usually takes, learnt from what was observed: the mean and the mean deviation, each moving, as TCP keeps them for its retransmission timeout. A limit taken from them follows the network and the load that a process meets, where a fixed figure would suit one deployment.
+Estimates how long something takes from observed durations, by a moving mean and a moving mean deviation, as TCP does for its retransmission timeout. A limit derived from them adapts to the network and the load of the process, where a fixed value would suit one deployment only.
 */
 
-/** What a new observation counts for; RFC 6298 takes the same. */
+/** Weights of a new observation in the moving mean and the moving deviation, as in RFC 6298. */
 const meanShare = 1 / 8;
 const deviationShare = 1 / 4;
 
-/** The limit is the mean and so many deviations; RFC 6298 takes the same. */
+/** The limit is the mean plus this many deviations, as in RFC 6298. */
 const deviations = 4;
 
-/** Fewer observations say too little; until then the limit is the ceiling. The deviation begins at half of the first one, so that the limit is thrice what was seen, and a process is careful with replicas that go dark in its first seconds too. */
+/** With fewer observations the limit is the ceiling. The deviation starts at half of the first duration, so that the limit starts at three times the observed one and takes effect early: replicas may also become unreachable in the first seconds of a process. */
 const leastObservations = 3;
 
 /** Bounds of a limit, in milliseconds. */
@@ -32,7 +32,7 @@
 		return this.#observations;
 	}
 
-	/** @param ms - How long it took this time. */
+	/** @param ms - The observed duration. */
 	observe(ms: number): void {
 		this.#observations += 1;
 		if (this.#observations === 1) {
@@ -45,7 +45,7 @@
 		this.#mean += meanShare * (ms - this.#mean);
 	}
 
-	/** @returns Milliseconds that it takes at most, unless something is wrong. */
+	/** @returns The upper limit, in milliseconds, that a duration exceeds only in case of a fault. */
 	limitMs({floorMs, ceilingMs}: LimitBounds): number {
 		const expected = this.#mean + (deviations * this.#deviation);
 		return this.#observations < leastObservations ? ceilingMs : Math.min(ceilingMs, Math.max(floorMs, expected));
--- a/src/gateway/contacts/recent-outcomes.ts
+++ b/src/gateway/contacts/recent-outcomes.ts
@@ -1,22 +1,22 @@
 /**
-Which share of its requests a replica has failed of late, over all processes that send there.
+The share of recent requests that failed at a replica, over all processes that send requests to it.
 
-The pattern: a replica answers errors, drops connections or turns requests away with places to spare, for a part of its requests and with connections in good order. It is done with each at once, so it looks emptiest of all and draws the calls of a whole service. Whoever judges by single failures would set good replicas aside with it; whoever sets replicas aside at all may empty a service.
+A faulty replica may answer some of its requests with errors, drop their connections or reject them despite free slots, while connections to it work. It finishes these requests at once, so it appears to be the least loaded one and attracts the calls of the entire service. Excluding replicas after single failures would also exclude good ones, and any exclusion may leave a service without replicas.
 
-So nobody is set aside, and failures are judged by their share. A mere count grows with the load: when half of the replicas lost a twentieth of their answers, counts drove the calls to the other half, where they waited. What all replicas of a service do alike, such as errors that the calls themselves cause, weighs on all alike and decides nothing.
+Therefore no replica is excluded, and replicas are compared by the share of their requests that failed. A plain count grows with the load: when half of the replicas lost a twentieth of their answers, counts moved the calls to the other half, where they queued. Failures that all replicas of a service have alike, such as errors that the calls themselves cause, affect all shares alike and decide nothing.
 */
 import type {MemberName} from '../types.js';
 
-/** An outcome counts for half after this long, in milliseconds: a few real calls reach the replica within some seconds and show whether it has recovered. */
+/** Half-life of an outcome's weight, in milliseconds: a few calls still reach the replica within some seconds and show whether it has recovered. */
 const halfLifeMs = 3000;
 
-/** Fewer failures than this are forgotten. */
+/** Counts with fewer failures than this are discarded. */
 const leastFailures = 0.05;
 
-/** Good outcomes that are taken for granted beside those that were seen: the first failure of a replica that has hardly been asked says little. */
+/** Successes that are assumed in addition to the observed ones: the first failure of a replica that has had few requests says little. */
 const presumedGood = 4;
 
-/** Requests that have ended, and how many of them failed; older ones count for less. */
+/** Requests that have ended, and how many of them failed; both counts decay with age. */
 export type OutcomeCounts = {
 	readonly requests: number;
 	readonly failures: number;
@@ -42,23 +42,23 @@
 	readonly #peers = new Map<MemberName, CountsAt>();
 	#own = none;
 
-	/** A request of this process has ended. */
+	/** Records that a request of this process has ended. */
 	note(hasFailed: boolean, now: number): void {
 		const {requests, failures} = faded(this.#own, now);
 		this.#own = {requests: requests + 1, failures: failures + (hasFailed ? 1 : 0), at: now};
 	}
 
-	/** Takes over what a peer has seen, in place of what it told before. */
+	/** Replaces the counts that the peer announced before. */
 	receivePeerCounts(peer: MemberName, counts: OutcomeCounts, now: number): void {
 		this.#peers.set(peer, {...counts, at: now});
 	}
 
-	/** What this process has seen itself. */
+	/** Counts of this process's own requests. */
 	ownCounts(now: number): OutcomeCounts {
 		return faded(this.#own, now);
 	}
 
-	/** @returns Failures of all requests, from 0 to 1; 0 where none failed of late. */
+	/** @returns The share of requests that failed, from 0 to 1; 0 where none failed recently. */
 	failureShare(now: number): number {
 		if (this.#own.failures === 0 && this.#peers.size === 0) {
 			return 0;
--- a/src/gateway/contacts/replica-reachability.ts
+++ b/src/gateway/contacts/replica-reachability.ts
@@ -1,9 +1,9 @@
 /**
-Which replicas can be reached, found out before callers wait for it.
+Detects unreachable replicas before callers have to wait for them.
 
-The pattern: a VM loses its power or its network, and nothing is reset. Requests on kept connections get no byte, and new connections are not made. Each process that waits out a fixed time, again and again whenever the replica's doubt has lapsed, makes a caller late each time: with three of 13 replicas dark for 4.6 s, 47 calls waited 300 ms for a connection, which is their whole latency target.
+When a VM loses its power or its network, no connection is reset: requests on open connections receive no bytes, and new connections are not established. A fixed connect timeout that expires again after each temporary exclusion of the replica delays a call each time. At 300 ms it used up the entire latency target of many calls while a few replicas were unreachable for seconds.
 
-So the time in which a connection is made is learnt, and a replica that does not make one in that time is left alone until a connection of the process's own, for which no caller waits, shows that it is back. And a request without a byte for longer than usual asks whether its replica can be reached at all: any byte from there answers that, or else a connection that is made for it.
+Therefore the connect timeout is derived from observed connect times, and a replica that exceeds it gets no requests until a connection of the process's own, for which no caller waits, succeeds. A request without a byte for longer than usual checks whether its replica can be reached: any byte from the replica shows that, or else a connection that is established for the check.
 */
 import type {Clock, Disposable, EventLog} from '../../common/services.js';
 import {gatewayEvents} from '../log-events.js';
@@ -12,10 +12,10 @@
 import type {GatewayServiceName} from '../types.js';
 import {ExpectedTime, type LimitBounds} from './expected-time.js';
 
-/** Makes a connection and closes it. Resolves with whether it was made within the limit, in milliseconds. */
+/** Establishes a connection and closes it. Resolves with whether it was established within the limit, in milliseconds. */
 export type Dial = (address: string, limitMs: number) => Promise<boolean>;
 
-/** What the contacts need. */
+/** Dependencies of the reachability tracking. */
 export type ReplicaReachabilityParts = {
 	readonly directory: ReplicaDirectory;
 	readonly clock: Clock;
@@ -23,28 +23,28 @@
 	readonly dial: Dial;
 };
 
-/** Connections are made in a few milliseconds, but a VM whose share of a core is used up stands still for up to a tenth of a second, less what it has had. The ceiling is the usual latency target: one that takes longer helps nobody. */
+/** Bounds of the connect timeout. Connections are established in a few milliseconds, but a VM that has used up its CPU quota is paused for up to a tenth of a second, less the quota it has used. The ceiling is the usual latency target: a connection that takes longer is of no use. */
 const connectBounds: LimitBounds = {floorMs: 60, ceilingMs: 300};
 
-/** Engines send something every 30 ms while they serve a request, and nothing while it waits for a place. Below the floor, ordinary jitter would be asked about; above the ceiling, a stream that goes on elsewhere has had a pause that its caller notices. */
+/** Bounds of the time without a byte after which reachability is checked. Engines send something every 30 ms while they serve a request, and nothing while it waits for a slot. Below the floor, ordinary jitter would cause checks; above the ceiling, a stream that continues at another replica has a pause that its caller notices. */
 const suspectBounds: LimitBounds = {floorMs: 100, ceilingMs: 250};
 
-/** A replica that was just reached is not asked about again for this long, in milliseconds: under a wave of calls many wait for a place at once, and each connection takes some of the replica's time. */
+/** A replica that was just reached is not checked again for this long, in milliseconds: in a burst many calls wait for a slot at once, and each connection takes some of the replica's time. */
 const trustMs = 500;
 
-/** An unreachable replica is tried again after this long, and twice as long after each further try, up to the ceiling; in milliseconds. A crashed process is back after some seconds. */
+/** An unreachable replica is tried again after this delay, which doubles with each further attempt up to the maximum; in milliseconds. A crashed process is back after some seconds. */
 const firstTryMs = 250;
 const mostTryMs = 1000;
 
-/** What one attempt tells of its replica, and asks about it. */
+/** What one attempt reports about the reachability of its replica, and asks about it. */
 export type AttemptReachability = {
-	/** Milliseconds in which a connection is made, unless the replica cannot be reached. */
+	/** Milliseconds within which a connection is established, unless the replica cannot be reached. */
 	readonly connectTimeoutMs: number;
-	/** Milliseconds without a byte after which `isReachable` is to be asked. */
+	/** Milliseconds without a byte after which `isReachable` is to be called. */
 	readonly probeAfterMs: number;
-	/** The request was sent on a connection that was made for it within so many milliseconds; on a kept one it tells nothing. */
+	/** Records that a connection was established for the request within this many milliseconds. Not to be called for a reused connection. */
 	noteConnected(ms: number): void;
-	/** Something has come from the replica. */
+	/** Records that bytes were received from the replica. */
 	noteBytes(): void;
 	isReachable(): Promise<boolean>;
 };
@@ -67,7 +67,7 @@
 		});
 	}
 
-	/** What an attempt at a replica needs. */
+	/** The reachability of a replica, for one attempt there. */
 	of(replica: Replica): AttemptReachability {
 		let heardAt: number | undefined;
 		return {
@@ -89,7 +89,7 @@
 		};
 	}
 
-	/** A connection to the replica could not be made: it gets no requests until one can. */
+	/** Records that no connection to the replica could be established: it gets no requests until one can. */
 	noteUnreachable(replica: Replica): void {
 		replica.noteUnreachable();
 		if (!this.#tries.has(replica)) {
@@ -98,7 +98,7 @@
 	}
 
 	/**
-	Whether a replica that broke a connection has ended: a process that is gone takes no new one, one that only lost a connection does. Requests that break together share one question.
+	Whether a replica whose connection broke has ended: a terminated process accepts no new connection, one that only lost a connection does. Requests that break together share one check.
 	*/
 	async hasEnded(replica: Replica): Promise<boolean> {
 		const underWay = this.#endings.get(replica) ?? this.#askWhetherEnded(replica);
@@ -116,7 +116,7 @@
 		return this.#connectTimesOf(replica).limitMs(connectBounds);
 	}
 
-	/** The way to all replicas of a failure domain is about the same. */
+	/** Connect times are about the same for all replicas of a failure domain. */
 	#connectTimesOf({record: {failureDomain}}: Replica): ExpectedTime {
 		return known(this.#connectTimes, failureDomain);
 	}
--- a/src/gateway/peers/member-registrar.ts
+++ b/src/gateway/peers/member-registrar.ts
@@ -1,5 +1,5 @@
 /**
-How a process of the gateway makes itself known: it writes its address into the object API when it starts.
+Registers this process of the gateway: when it starts, writes its address into the object API as a `Member` object, and retries until it is stored. The other processes find it there through {@link MemberRegistry}.
 */
 import type {
 	Clock, Disposable, EventLog, ObjectApi,
@@ -9,7 +9,7 @@
 import type {MemberName} from '../types.js';
 import {readMember, type MemberRecord} from './member-registry.js';
 
-/** What the entry needs. */
+/** Dependencies of the registrar. */
 export type MemberRegistrarParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
@@ -17,7 +17,7 @@
 	readonly log: EventLog;
 };
 
-/** Milliseconds until the next try to write the own address. */
+/** Delay before the address is written again after a failure, in milliseconds. */
 const retryMs = 1000;
 
 /** See the module's head. */
@@ -29,7 +29,7 @@
 		this.#parts = parts;
 	}
 
-	/** Writes this process's address, again and again until it stands there. */
+	/** Writes this process's address, and retries until it is stored or the registrar is disposed of. */
 	async register(record: MemberRecord): Promise<void> {
 		while (!this.#isDisposed && !(await this.#write(record))) {
 			await this.#parts.clock.sleep(retryMs);
@@ -49,7 +49,7 @@
 		});
 	}
 
-	/** The entry of an earlier start stands there, perhaps with another address. */
+	/** Handles a failed creation: after a conflict, the record of an earlier start exists, perhaps with another address, and is updated. */
 	async #correct(err: ApiError, record: MemberRecord): Promise<boolean> {
 		const {self, api, log} = this.#parts;
 		if (err.kind !== 'conflict') {
--- a/src/gateway/peers/member-registry.ts
+++ b/src/gateway/peers/member-registry.ts
@@ -1,23 +1,23 @@
 /**
-Where the fronts find each other and the keepers: they follow what each process has written into the object API. An address that nobody answers at costs one datagram now and then, so entries of VMs that are gone may stay for a while.
+Provides the addresses of the fronts and keepers by following the `Member` objects that each process writes into the object API. An address without a process costs only one datagram per announcement, so the records of removed VMs may stay for a while.
 */
 import {isNonEmptyString, objectOf, oneOf} from '../../common/field-validators.js';
 import type {Clock} from '../../common/services.js';
 import type {ObjectFeed} from '../object-feed.js';
 
-/** What a member writes. */
+/** The value of a `Member` object. */
 export type MemberRecord = {
-	/** `ip:port` where it takes its peers' state or calls. */
+	/** `ip:port` at which it receives its peers' state or calls. */
 	readonly address: string;
 	readonly role: MemberRole;
 };
 
-/** Fronts tell each other their state; keepers hold jobs for them. */
+/** Fronts announce their state to each other; keepers hold jobs for them. */
 export type MemberRole = 'front' | 'keeper';
 
 const isRecord = objectOf({address: isNonEmptyString, role: oneOf('front', 'keeper')});
 
-/** @returns The member, or nothing where the value is none. */
+/** @returns The record, or `undefined` where the value is not a valid one. */
 export const readMember = (value: unknown): MemberRecord | undefined => isRecord(value) ? value as MemberRecord : undefined;
 
 /** See the module's head. */
@@ -44,17 +44,17 @@
 		});
 	}
 
-	/** When the members were first known, in milliseconds on the monotonic clock; `undefined` before. */
+	/** When the members were first loaded, in milliseconds on the monotonic clock; `undefined` before. */
 	get firstLoadedAt(): number | undefined {
 		return this.#knownAt;
 	}
 
-	/** Addresses of all fronts that were written, this one's included. */
+	/** Addresses of all registered fronts, this one's included. */
 	get addresses(): readonly string[] {
 		return this.#addressesOf('front');
 	}
 
-	/** Addresses of all keepers that were written. */
+	/** Addresses of all registered keepers. */
 	get keeperAddresses(): readonly string[] {
 		return this.#addressesOf('keeper');
 	}
--- a/src/gateway/peers/object-relay.ts
+++ b/src/gateway/peers/object-relay.ts
@@ -1,5 +1,5 @@
 /**
-The object API by way of a peer. The object API may turn some processes away, or be cut off from them, while it serves the others; a process that cannot reach it asks a peer that can, so that it goes on taking jobs in, writing results and hearing of changes.
+A client of the object API that falls back to a peer. The object API may reject some processes, or be partitioned from them, while it serves the others; a process that cannot reach it relays its calls through a peer that can, and so continues to accept jobs, write results and receive changes. A call is relayed at most once.
 */
 import {EventEmitter} from 'node:events';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -15,10 +15,10 @@
 import {gatewayEvents} from '../log-events.js';
 import type {ObjectApiAnswer, ObjectApiReachability} from '../object-api-reachability.js';
 
-/** The method's name between processes. */
+/** Name of the RPC method between processes. */
 export const objectCallMethod = 'gateway.objectCall';
 
-/** One call of the object API, as it goes to a peer. */
+/** A call of the object API, as it is sent to a peer. */
 export type ObjectCall
 	= | {readonly operation: 'get'; readonly kind: ObjectKind; readonly name: string; readonly options?: ReadOptions}
 		| {readonly operation: 'create'; readonly kind: ObjectKind; readonly name: string; readonly value: unknown}
@@ -27,7 +27,7 @@
 		| {readonly operation: 'list'; readonly kind: ObjectKind; readonly query?: ListQuery}
 		| {readonly operation: 'watch'; readonly kind: ObjectKind; readonly since: Revision; readonly waitMs: number; readonly options?: ReadOptions};
 
-/** What a peer answers. */
+/** A peer's answer: the result of the call, or its error. */
 export type ObjectCallAnswer
 	= | {readonly isDone: true; readonly value: unknown}
 		| {readonly isDone: false; readonly err: ApiError};
@@ -48,7 +48,7 @@
 const perform = async (api: ObjectApi, call: ObjectCall): Promise<Either<ApiError, unknown>> =>
 	(operations[call.operation] as (api: ObjectApi, call: ObjectCall) => Promise<Either<ApiError, unknown>>)(api, call);
 
-/** Makes a peer's call at the object API itself: a call is passed on once and never further. */
+/** Makes a peer's call directly at the object API; a relayed call is never relayed again. */
 export const answerObjectCall = async (direct: ObjectApi, call: ObjectCall): Promise<ObjectCallAnswer> => {
 	const outcome = await perform(direct, call);
 	return outcome.caseOf<ObjectCallAnswer>({
@@ -57,22 +57,22 @@
 	});
 };
 
-/** What the relay needs. */
+/** Dependencies of the relay. */
 export type ObjectRelayParts = {
 	/** The object API itself. */
 	readonly direct: ObjectApi;
 	readonly rpc: RpcClient;
-	/** Where peers that reach the object API take calls, as `ip:port`. */
+	/** Addresses at which peers that reach the object API accept calls, as `ip:port`. */
 	readonly peerAddresses: () => readonly string[];
 	readonly clock: Clock;
 	readonly random: RandomSource;
 	readonly log: EventLog;
 };
 
-/** A peer answers after its own call of the object API; in milliseconds beyond what the call waits on purpose. */
+/** Timeout of a relayed call, in milliseconds, in addition to the time for which the call itself waits: the peer answers only after its own call of the object API. */
 const helperTimeoutMs = 1000;
 
-/** While calls go by way of peers, the object API itself is tried this often, in milliseconds: each try is a call that counts. */
+/** Interval, in milliseconds, at which the object API itself is tried while calls are relayed through peers. Each attempt counts as a call of the object API, so a shorter interval has its cost. */
 const probeMs = 500;
 
 const changes = new Set<ObjectCall['operation']>(['create', 'update', 'remove']);
@@ -83,7 +83,7 @@
 	? {kind: 'unknown', reason: `peer: ${failure.reason}`}
 	: {kind: 'unavailable', reason: `peer: ${failure.reason}`};
 
-/** Copies that lag are served also while the object API itself takes no changes. */
+/** Whether the call may be answered from a copy that lags. Such copies are served even while the object API itself accepts no changes. */
 const mayLag = (call: ObjectCall): boolean => 'options' in call && call.options?.mayLag === true;
 
 /** See the module's head. */
@@ -93,7 +93,7 @@
 	#answeredAt = -Infinity;
 	/** See {@link ObjectApiAnswer.failedCallAt}. */
 	#failedCallAt: number | undefined;
-	/** The same, whether an answer has come since or not. */
+	/** The same, but not reset by an answer. */
 	#lastFailedCallAt: number | undefined;
 	#isDirect = true;
 	#probe: NodeJS.Timeout | undefined;
@@ -104,7 +104,7 @@
 		this.#parts = parts;
 	}
 
-	/** Whether the object API itself answered when it was last asked. */
+	/** Whether the object API itself answered the last call to it. */
 	get isDirect(): boolean {
 		return this.#isDirect;
 	}
@@ -113,7 +113,7 @@
 		return this.#isDirect ? undefined : this.#lastFailedCallAt;
 	}
 
-	/** Calls the listener with each answer of the object API, direct or by way of a peer. Answers that may be of a copy that lags do not count. */
+	/** Calls the listener with each answer of the object API, direct or relayed. Answers that may come from a copy that lags are not reported. */
 	onAnswer(listener: (answer: ObjectApiAnswer) => void): void {
 		this.#events.on('answer', listener);
 	}
@@ -149,7 +149,7 @@
 	async watch(kinds: readonly ObjectKind[], since: Revision, waitMs: number, options?: ReadOptions): Promise<Either<ApiError, WatchBatch>> {
 		const [kind] = kinds;
 		return kind === undefined || kinds.length > 1
-			? Left({kind: 'unavailable', reason: 'one kind a call'})
+			? Left({kind: 'unavailable', reason: 'a watch takes one kind per call'})
 			: this.#call({
 				operation: 'watch', kind, since, waitMs, options,
 			});
@@ -181,11 +181,11 @@
 		}
 
 		this.#noteFailure(call, err);
-		// A change that may have taken effect is not made again here: only its caller knows whether that is harmless.
+		// A change that may have taken effect is not retried here: only its caller knows whether a repetition is harmless.
 		return err.kind === 'unknown' || this.#isDirect ? Left(err) : this.#ask<T>(call);
 	}
 
-	/** Without a peer to ask, the object API itself is the only hope; it is asked no more often than the probes ask it. In an outage each feed of each process would otherwise ask several times a second, for nothing. */
+	/** Without a peer to relay through, calls the object API itself, but no more often than the probes do. In an outage each feed of each process would otherwise call it several times a second to no effect. */
 	async #askDirectly<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
 		const {clock} = this.#parts;
 		if (clock.now() - this.#failedAt < probeMs) {
@@ -197,7 +197,7 @@
 		return outcome as Either<ApiError, T>;
 	}
 
-	/** Asks the object API itself. */
+	/** Calls the object API itself, and records when a failed call began. */
 	async #perform(call: ObjectCall): Promise<Either<ApiError, unknown>> {
 		const {direct, clock} = this.#parts;
 		const askedAt = clock.now();
@@ -227,7 +227,7 @@
 		});
 	}
 
-	/** A watch fails with its connection, and alone says little; any other call shows that the object API does not answer. */
+	/** A watch also fails when only its connection breaks, so a failed watch triggers a probe; any other failed call shows that the object API does not answer. */
 	#noteFailure({operation}: ObjectCall, err: ApiError) {
 		if (!this.#isDirect || this.#probe !== undefined) {
 			return;
@@ -241,7 +241,7 @@
 		this.#leave(err);
 	}
 
-	/** @param askedAt - When the call began that has failed: the next try is counted from there, so that the end of an outage is noticed as soon after a silent call as after a refusal. */
+	/** @param askedAt - When the failed call began. The next attempt is timed from there, so that the end of an outage is detected as soon after a call without an answer as after a rejected one. */
 	#leave(err: ApiError, askedAt = this.#parts.clock.now()) {
 		const {clock} = this.#parts;
 		this.#failedAt = clock.now();
--- a/src/gateway/peers/peer-announcer.ts
+++ b/src/gateway/peers/peer-announcer.ts
@@ -1,5 +1,5 @@
 /**
-Tells the peers of this process what it has in flight: soon after each change, and at least several times a second.
+Announces this process's state to its peers, such as its requests in flight: soon after each change, and at least several times a second.
 */
 import type {Clock, Disposable} from '../../common/services.js';
 import type {DatagramChannel} from '../../io/datagram-channel.js';
@@ -17,40 +17,40 @@
 import type {PeerTable} from './peer-table.js';
 import type {FeedCheck} from './shared-checks.js';
 
-/** Changes are gathered for this long at least, in milliseconds: short against the near second that an online call holds its place, and 25 messages a second at most to each peer. */
+/** Minimum time, in milliseconds, for which changes are gathered before they are announced. It is short compared to the almost one second for which an online call occupies its slot, and limits a process to 25 messages a second to each peer. */
 const leastGatherMs = 40;
 
-/** And for this long for each peer, so that the messages of one process stay at 500 a second however many peers it has. Later news sends the calls of a wave to replicas that are full by then. */
+/** Gathering time for each peer, in milliseconds, which limits a process to 500 messages a second however many peers it has. With later announcements, the calls of a burst would be sent to replicas that are already full. */
 const gatherMsForEachPeer = 2;
 
-/** An online call that finds no free place at a replica with items is told this soon, in milliseconds, so that whoever runs the items cuts one off. */
+/** An online call that finds no free slot at a replica with items is announced within this time, in milliseconds, so that the process that runs the items preempts one. */
 const urgentMs = 5;
 
 /**
-@param peers - How many peers are heard.
-@returns Milliseconds until a change has been told.
+@param peers - Number of live peers.
+@returns Milliseconds until a change is announced.
 */
 export const announcementDelayMs = (peers: number): number => Math.max(leastGatherMs, gatherMsForEachPeer * peers);
 
-/** Without a change, milliseconds between messages. */
+/** Interval between announcements without a change, in milliseconds. */
 const heartbeatMs = 250;
 
-/** News of crashes is told at once, and again this often, in milliseconds: a request that ends replicas is back at another process within a tenth of a second, and single messages are lost. */
+/** Crashes are announced at once and repeated at this interval, in milliseconds: a request that crashes replicas arrives at another process within a tenth of a second, and single messages are lost. */
 const crashesEveryMs = 250;
 
-/** Failed runs of items are told soon, and again this often, in milliseconds; an item's next run follows 200 ms after the one that failed. */
+/** Failed runs of items are announced soon and repeated at this interval, in milliseconds; an item's next run starts 200 ms after the failed one. */
 const failedRunsEveryMs = 250;
 
-/** Calls of limited accounts are told this often, in milliseconds: near a limit, what has not been told yet is admitted twice. */
+/** Interval at which the usage of rate-limited accounts is announced, in milliseconds: near a limit, calls that have not been announced yet are admitted twice. */
 const accountUsageEveryMs = 100;
 
-/** Outcomes are told this often, in milliseconds, and only where any request failed: they fade over seconds, and in each message they would double its size while half of the replicas fail now and then. */
+/** Interval at which outcomes are announced, in milliseconds, and only for replicas where a request failed: they decay over seconds, and in each message they would double its size while half of the replicas fail occasionally. */
 const outcomesEveryMs = 250;
 
-/** To hundredths, which decide nothing, so that a message stays short. */
+/** Rounds to hundredths to keep messages short; smaller differences affect no decision. */
 const rounded = ({requests, failures}: OutcomeCounts): OutcomeCounts => ({requests: Math.round(100 * requests) / 100, failures: Math.round(100 * failures) / 100});
 
-/** What the announcer reads. */
+/** Dependencies of the announcer. */
 export type AnnouncerParts = {
 	readonly self: MemberName;
 	readonly channel: DatagramChannel;
@@ -62,12 +62,12 @@
 	readonly rateLimits: RateLimits;
 	readonly checks: () => readonly FeedCheck[] | undefined;
 	readonly clock: Clock;
-	/** Addresses of members that were registered, heard or not. */
+	/** Addresses of registered members, live or not. */
 	readonly memberAddresses: () => readonly string[];
 	readonly claimedJobs: () => readonly BatchJobId[];
 	readonly waitingItems: () => readonly SharedWaiting[];
 	readonly isLeaving: () => boolean;
-	/** `ip:port` where this process takes its peers' calls. */
+	/** `ip:port` at which this process accepts its peers' calls. */
 	readonly rpcAddress: () => string;
 	readonly reachesObjectApi: () => boolean;
 };
@@ -103,12 +103,12 @@
 		});
 		parts.peers.onMembership(() => {
 			parts.quarantine.reannounce();
-			// A peer that has just come must hear soon which jobs are run here.
+			// A peer that has just joined must soon receive the list of jobs that this process runs.
 			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 	}
 
-	/** Begins to send. */
+	/** Starts announcing. */
 	start(): void {
 		this.#heartbeat = setInterval(() => {
 			this.#send();
@@ -116,7 +116,7 @@
 		this.#send();
 	}
 
-	/** Sends within the gathering time. */
+	/** Sends an announcement within the minimum gathering time. */
 	announceSoon(): void {
 		this.#announceWithin(leastGatherMs);
 	}
@@ -128,7 +128,7 @@
 	}
 
 	#announceWithin(ms: number) {
-		// Whether a replica has ended may be found out after the channel was closed.
+		// A check whether a replica has ended may complete after the channel was closed.
 		if (this.#isDisposed) {
 			return;
 		}
@@ -150,7 +150,7 @@
 		this.#pending = undefined;
 		this.#heartbeat?.refresh();
 		const {channel, peers, memberAddresses} = this.#parts;
-		// Under load every message comes from a change and the heartbeat never falls due, so silence is looked for with each message: a peer that died would otherwise keep its jobs until the load ends.
+		// Under load every message is caused by a change and the heartbeat never fires, so unresponsive peers are removed with each message. A terminated peer would otherwise keep its jobs until the load ends.
 		peers.removeUnresponsive();
 		const addresses = new Set([...memberAddresses(), ...peers.live.map(({state}) => state.address)]);
 		addresses.delete(channel.address);
--- a/src/gateway/peers/peer-server.ts
+++ b/src/gateway/peers/peer-server.ts
@@ -1,12 +1,12 @@
 /**
-Where a process takes its peers' calls: JSON-RPC over HTTP, and nothing else.
+Creates the HTTP server at which a process accepts its peers' calls. It serves JSON-RPC and nothing else.
 */
 import type {EventLog} from '../../common/services.js';
 import {HttpServer} from '../../io/http-server.js';
 import {rpcRoute, type RpcMethods} from '../../io/rpc-route.js';
 import {gatewayEvents} from '../log-events.js';
 
-/** @param methods - What peers may call, by name. */
+/** @param methods - The methods that peers may call, by name. */
 export const peerServer = (methods: RpcMethods, log: EventLog): HttpServer => new HttpServer([rpcRoute(methods)], {
 	notFound(_req, res) {
 		res.writeHead(404);
--- a/src/gateway/peers/peer-state.ts
+++ b/src/gateway/peers/peer-state.ts
@@ -1,5 +1,5 @@
 /**
-What the processes of the gateway tell each other: how much each has in flight at each replica, and which batch jobs it runs. It is sent anew at each change and every now and then, so that nothing depends on one message, and silence means that a peer is gone.
+The state that the processes of the gateway announce to each other: how many requests each has in flight at each replica, and which batch jobs it runs. It is sent again after each change and at regular intervals, so that nothing depends on a single message, and a peer that sends none is considered terminated.
 */
 import type {AccountUsage} from '../accounts/account-usage.js';
 import type {WaitingCounts} from '../batch/batch-policy.js';
@@ -21,50 +21,50 @@
 	readonly batch: number;
 };
 
-/** How requests of one process have ended at one replica of late, as {@link OutcomeCounts} at the time of the message. */
+/** Outcomes of one process's recent requests at one replica, as {@link OutcomeCounts} at the time of the message. */
 export type SharedOutcomes = OutcomeCounts & {
 	readonly replica: ReplicaId;
 	/** See {@link SharedLoad.startedAt}. */
 	readonly startedAt?: number;
 };
 
-/** Items of one route that wait for a place at one process. */
+/** Items of one route that wait for a slot at one process. */
 export type SharedWaiting = WaitingCounts & {readonly route: string};
 
-/** One process's state, whole. */
+/** The complete state of one process. */
 export type PeerState = {
 	readonly member: MemberName;
-	/** `ip:port` where it takes its peers' state. */
+	/** `ip:port` at which it receives its peers' state. */
 	readonly address: string;
-	/** `ip:port` where it takes its peers' calls. */
+	/** `ip:port` at which it accepts its peers' calls. */
 	readonly rpcAddress: string;
-	/** Whether it can make a peer's calls of the object API. */
+	/** Whether it can relay a peer's calls to the object API. */
 	readonly reachesObjectApi: boolean;
 	/** When the process started, in milliseconds of its wall clock: a restart begins with a new sequence. */
 	readonly startedAt: number;
 	/** Grows with each message of one start. */
 	readonly seq: number;
-	/** Whether it is shutting down and gives its jobs away. */
+	/** Whether it is shutting down and handing over its jobs. */
 	readonly isLeaving: boolean;
-	/** Replicas that are not listed have nothing of this process. */
+	/** Replicas that are not listed have no requests of this process. */
 	readonly loads: readonly SharedLoad[];
-	/** Of replicas where requests have failed of late, at this process or another; not in each message. */
+	/** Only replicas where requests failed recently, at this process or another; not in each message. */
 	readonly outcomes?: readonly SharedOutcomes[];
-	/** Replicas that have ended under its requests of late; told several times, and not in each message. */
+	/** Replicas that recently ended while they ran its requests; repeated several times, and not in each message. */
 	readonly crashes?: readonly Crash[];
-	/** Requests that had been there when replicas ended, and have since run to their end. */
+	/** Requests that were running when replicas ended, and have completed since. */
 	readonly acquitted?: readonly ContentDigest[];
-	/** Its runs of batch items that have failed of late; told several times, and not in each message. */
+	/** Its runs of batch items that failed recently; repeated several times, and not in each message. */
 	readonly failedRuns?: readonly FailedRun[];
-	/** Of client accounts with a rate limit whose calls have come to it of late; not in each message. */
+	/** Usage of rate-limited client accounts whose calls it received recently; not in each message. */
 	readonly accountUsage?: readonly AccountUsage[];
-	/** What it has read of late from the object API; not in each message. */
+	/** What it has recently read from the object API; not in each message. */
 	readonly checks?: readonly FeedCheck[];
 	/** Batch jobs that it runs. */
 	readonly jobs: readonly BatchJobId[];
-	/** Routes whose items all run are not listed; processes of earlier versions list none. */
+	/** Routes without waiting items are not listed; processes of earlier versions list none. */
 	readonly waiting?: readonly SharedWaiting[];
 };
 
-/** The method's name between processes. */
+/** Name of the RPC method between processes. */
 export const peerStateMethod = 'gateway.state';
--- a/src/gateway/peers/peer-table.ts
+++ b/src/gateway/peers/peer-table.ts
@@ -1,5 +1,5 @@
 /**
-The other processes of the gateway as far as they are heard: part of the blackboard. Whoever is silent for longer than a few messages is taken for gone, its requests in flight are counted no longer, and its jobs are open to others.
+The other live processes of the gateway and the state that each has announced: part of the blackboard. A peer from which several messages in a row are missing is considered terminated: its requests in flight no longer count, and other processes may claim its jobs.
 */
 import {EventEmitter} from 'node:events';
 import type {Clock, EventLog} from '../../common/services.js';
@@ -10,20 +10,20 @@
 import type {BatchJobId, MemberName, ReplicaId} from '../types.js';
 import type {PeerState, SharedLoad} from './peer-state.js';
 
-/** A peer sends at least every 250 ms; this many milliseconds of silence are four messages lost in a row, or the peer. */
+/** A peer sends at least every 250 ms. After this many milliseconds without a message, either four messages in a row were lost or the peer has terminated. */
 const silenceMs = 1200;
 
-/** Silence is looked for at least every 250 ms; after a longer time than this between two looks, in milliseconds, this process itself was paused. */
+/** Unresponsive peers are looked for at least every 250 ms. If two checks are further apart than this, in milliseconds, this process itself was paused. */
 const standstillMs = 600;
 
-/** A peer that is heard. */
+/** A live peer. */
 export type Peer = {
 	readonly state: PeerState;
 	readonly heardAt: number;
 	readonly jobs: ReadonlySet<BatchJobId>;
 };
 
-/** What the table reads and writes. */
+/** Dependencies of the table. */
 export type PeerTableParts = {
 	readonly self: MemberName;
 	readonly directory: ReplicaDirectory;
@@ -39,7 +39,7 @@
 	readonly #events = new EventEmitter();
 	readonly #peers = new Map<MemberName, Peer>();
 	#lookedAt: number;
-	/** When this process last went on after a pause. */
+	/** When this process last resumed after a pause. */
 	#wokeAt = -Infinity;
 
 	constructor(parts: PeerTableParts) {
@@ -47,32 +47,32 @@
 		this.#lookedAt = parts.clock.now();
 	}
 
-	/** Peers that are heard. */
+	/** Live peers. */
 	get live(): readonly Peer[] {
 		return [...this.#peers.values()];
 	}
 
-	/** Names of the peers that are heard. */
+	/** Names of the live peers. */
 	get names(): ReadonlySet<MemberName> {
 		return new Set(this.#peers.keys());
 	}
 
-	/** How many processes share the replicas, this one included. */
+	/** Number of processes that share the replicas, this one included. */
 	get processCount(): number {
 		return this.#peers.size + 1;
 	}
 
-	/** Calls the listener when a peer comes, goes, or says that it is leaving. */
+	/** Calls the listener when a peer joins, restarts or is removed, or announces that it is leaving. */
 	onMembership(listener: () => void): void {
 		this.#events.on('membership', listener);
 	}
 
-	/** Calls the listener with each state that is taken over. */
+	/** Calls the listener with each state that is applied. */
 	onState(listener: (state: PeerState) => void): void {
 		this.#events.on('state', listener);
 	}
 
-	/** Takes over what a peer says of itself. Messages that another has overtaken change nothing. */
+	/** Applies a state that a peer has announced. Messages that a later one has overtaken are ignored. */
 	receive(state: PeerState): void {
 		const {self, clock, log} = this.#parts;
 		if (state.member === self) {
@@ -98,7 +98,7 @@
 		}
 	}
 
-	/** Drops the peers that have gone silent. Call it every now and then. */
+	/** Removes unresponsive peers. To be called regularly. */
 	removeUnresponsive(): void {
 		const {clock, log} = this.#parts;
 		const now = clock.now();
@@ -114,7 +114,7 @@
 		}
 	}
 
-	/** Timers come before messages: right after a pause, what the peers have sent meanwhile is still unread, and all of them would pass for gone. Their jobs would be claimed and run twice. */
+	/** Timers fire before messages are read: right after a pause, the messages that peers have sent meanwhile are still unread, and all peers would be considered terminated. Their jobs would be claimed and run twice. */
 	#noteStandstill(now: number) {
 		if (now - this.#lookedAt > standstillMs) {
 			this.#wokeAt = now;
@@ -149,7 +149,7 @@
 		});
 	}
 
-	/** Requests at an earlier start of a replica take no place at this one. */
+	/** Requests at an earlier start of a replica occupy no slot at the current one. */
 	#note(peer: MemberName, {replica: id, startedAt, online, batch}: SharedLoad) {
 		const replica = this.#parts.directory.get(id);
 		if (!replica) {
--- a/src/gateway/peers/shared-checks.ts
+++ b/src/gateway/peers/shared-checks.ts
@@ -1,5 +1,5 @@
 /**
-Detects silent watches with few calls of the object API. Every process watches for itself; one of them also polls and announces the last change that it has seen. A process that lacks that change polls too, and one that sees no announcement in time takes over the polling.
+Detects stalled watches with few calls of the object API. Every process watches for itself; one of them also polls and announces the last change that it has seen. A process that lacks that change polls too, and one that sees no announcement in time takes over the polling.
 */
 import type {Revision} from '../../common/ids.js';
 import type {Clock, Disposable} from '../../common/services.js';
@@ -27,7 +27,7 @@
 	readonly intervalMs: number;
 };
 
-/** What the checks need. */
+/** Dependencies of the checks. */
 export type SharedChecksParts = {
 	readonly self: MemberName;
 	readonly peers: Pick<PeerTable, 'live' | 'onState'>;
@@ -38,11 +38,11 @@
 	readonly announce: () => void;
 };
 
-/** Each process next in line waits this much longer before it polls, in milliseconds, up to the third in line. */
+/** Each process waits this much longer than the one ranked before it until it polls, in milliseconds, up to the third rank. */
 const standInMs = 60;
 const mostStandIns = 3;
 
-/** The own watch brings a change at about the time at which a peer announces it; after this long, in milliseconds, it is polled for. */
+/** A process's own watch delivers a change at about the time at which a peer announces it; if it has not after this long, in milliseconds, the change is polled for. */
 const lagTimeoutMs = 150;
 
 /** Pause after a failed poll, in milliseconds. */
@@ -110,7 +110,7 @@
 	readonly #clock: Clock;
 	readonly #progress: Pick<ReadProgress, 'readUntil'>;
 	readonly #options: {readonly delayMs: () => number; readonly announce: () => void};
-	/** When a peer last confirmed that nothing is missing here. */
+	/** When a peer last confirmed that this process lacks no change. */
 	#confirmedAt = -Infinity;
 	#behindSince: number | undefined;
 	#timer: NodeJS.Timeout | undefined;
@@ -187,7 +187,7 @@
 		const {feed, intervalMs: everyMs} = this.#checked;
 		const behindDueAt = this.#behindSince === undefined ? Infinity : this.#behindSince + lagTimeoutMs;
 		if (!feed.isWatching) {
-			// Its own next call is about to be made.
+			// The feed is about to make its own next call.
 			return this.#clock.now() + retryMs;
 		}
 
--- a/src/gateway/quarantine/content-digest.ts
+++ b/src/gateway/quarantine/content-digest.ts
@@ -1,5 +1,5 @@
 /**
-Names what a request asks for, whoever sends it, through whichever process and under whatever id. A caller that tries again sends the same content under a new id, so an id tells nothing of what earlier runs of the same content have done.
+Identifies the content of a request independently of its sender, the process that receives it and its id. A caller that retries sends the same content under a new id, so the id does not lead to the results of earlier runs of that content.
 */
 import {createHash} from 'node:crypto';
 import type {Buffer} from 'node:buffer';
@@ -8,7 +8,7 @@
 /** The content of a request: its host, method, path with query, and body. */
 export type ContentDigest = Branded<string, 'ContentDigest'>;
 
-/** What makes up the content. Headers do not: ids and the time left are new with each attempt. */
+/** The parts that make up the content. Headers are not included: ids and the remaining time change with each attempt. */
 export type RequestContent = {
 	readonly host: string;
 	readonly method: string;
@@ -17,10 +17,10 @@
 	readonly body?: Buffer;
 };
 
-/** Half of the hash, in hexadecimal digits: enough that nobody finds another content with the same digest, which would have that one refused in its place. */
+/** Length of a digest in hexadecimal digits, half of the hash: long enough that nobody can construct other content with the same digest, which would be rejected in its place. */
 const digestLength = 32;
 
-/** @returns The same for the same content at every process. */
+/** @returns The digest, which every process computes alike for the same content. */
 export const contentDigest = ({host, method, target, body}: RequestContent): ContentDigest => {
 	const hash = createHash('sha256').update(JSON.stringify([host, method, target]));
 	if (body) {
--- a/src/gateway/quarantine/quarantine-records.ts
+++ b/src/gateway/quarantine/quarantine-records.ts
@@ -1,5 +1,5 @@
 /**
-Keeps in the object API which requests end the replicas that run them. All processes of the gateway may be killed at the same moment; without a record, each of these requests would end three more replicas afterwards, and again after the next time.
+Stores in the object API which requests crash the replicas that run them. All processes of the gateway may be killed at the same moment; without a record, each of these requests would crash three more replicas after each such restart.
 
 A record is written as soon as its request is held back. Deleting the record releases the request at every process.
 */
@@ -21,15 +21,15 @@
 import type {ReplicaStart} from './crash-history.js';
 import type {Quarantine} from './quarantine.js';
 
-/** What stands in the object API, under the content's digest. */
+/** The stored value of a `Quarantine` object; the content's digest is the object's name. */
 export type QuarantineRecord = {
-	/** Replicas that ended under the request. */
+	/** Replicas that ended while running the request. */
 	readonly starts: readonly ReplicaStart[];
-	/** When the last one did, in milliseconds of the wall clock. */
+	/** When the last one ended, in milliseconds of the wall clock. */
 	readonly lastCrashAt: number;
 };
 
-/** What the records are read and written with. */
+/** Dependencies of the records. */
 export type QuarantineRecordsParts = {
 	readonly self: MemberName;
 	readonly quarantine: Quarantine;
@@ -40,10 +40,10 @@
 	readonly log: EventLog;
 };
 
-/** How often it is tried again to write or remove what is still to be, in milliseconds: the object API may be away more often than not, and all processes may be killed before long. */
+/** Interval at which outstanding writes and removals are retried, in milliseconds: the object API may be unavailable most of the time, and all processes may be killed soon. */
 const lookMs = 200;
 
-/** The first of the ranking writes at once; after this long, in milliseconds, any process does, since the first may be cut off from the object API. */
+/** The first process of the ranking writes a record at once; after this long, in milliseconds, any process does, since the first may be partitioned from the object API. */
 const turnMs = 2000;
 
 type KnownRecord = {readonly version: Revision; readonly crashes: number};
@@ -105,7 +105,7 @@
 
 	#take({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
 		if (!isQuarantineRecord(value)) {
-			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record cannot be read'});
+			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record is invalid'});
 			return;
 		}
 
@@ -126,7 +126,7 @@
 		}
 	}
 
-	/** Writes what is held back and does not stand in the object API yet, and removes what was released. */
+	/** Writes the missing records of requests that are held back, and removes those of released requests. */
 	async #bringInLine(): Promise<void> {
 		if (this.#isBusy) {
 			return;
@@ -178,7 +178,7 @@
 
 	#onNotWritten(content: ContentDigest, err: ApiError) {
 		if (err.kind === 'conflict' && err.current) {
-			// Another process was there first.
+			// Another process has written the record first.
 			this.#take(err.current);
 			return;
 		}
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -1,7 +1,7 @@
 /**
-Which requests are held back because they end the replicas that run them: part of the blackboard. Those who run requests write what they see, peers' news and the object API's records are taken in, and whoever is about to send a request asks.
+Holds back requests that crash the replicas that run them: part of the blackboard. Crashes are recorded by the code that runs requests, from the peers' announcements and from the records in the object API; the quarantine is queried before a request is sent.
 
-Three replicas are what it costs to know such a request by: one or two crashes under the same request are common where several replicas end at once for another reason. A run that comes to its end shows that the request ends no replica, and what was held against it is forgotten everywhere.
+A request is recognised after three crashes, since one or two crashes during the same request are common where several replicas end at once for another reason. A completed run shows that the request does not crash replicas, and its crashes are deleted at all processes.
 */
 import {EventEmitter} from 'node:events';
 import type {Clock, EventLog} from '../../common/services.js';
@@ -11,45 +11,45 @@
 import type {ContentDigest} from './content-digest.js';
 import {CrashHistory, startOf, type Crash} from './crash-history.js';
 
-/** What the quarantine needs. */
+/** Dependencies of the quarantine. */
 export type QuarantineParts = {
 	readonly clock: Clock;
 	readonly log: EventLog;
 };
 
-/** What one process tells its peers of crashes. */
+/** What one process announces to its peers about crashes. */
 export type CrashAnnouncement = {
 	readonly crashes: readonly Crash[];
 	readonly acquitted: readonly ContentDigest[];
 };
 
 /**
-Replicas that may end under a request before it is held back.
+Number of replicas that end while running a request before it is held back.
 
-With fewer, ordinary requests that were at replicas which ended for another reason would be refused; with more, each such request takes that many replicas from all other callers (quarantine.feature).
+With fewer, ordinary requests that were running at replicas which ended for another reason would be rejected; with more, each request that crashes replicas takes that many from all other callers (quarantine.feature).
 */
 export const crashThreshold = 3;
 
 /**
-How long a request is held back after its last crash, in milliseconds; twice as long after each further one. Then it is tried, since it may be blamed wrongly: three replicas that end at once for another reason may all have had the same popular request. One run that comes to its end clears it.
+How long a request is held back after its last crash, in milliseconds; the time doubles with each further crash. Afterwards it is tried again, since it may not be the cause: three replicas that end at once for another reason may all have been running the same popular request. One completed run clears it.
 
-A kiosk that asks for it again and again ends four replicas in the five minutes after that, in place of several in a second; a popular page that is blamed wrongly is missing for half a minute. An item of a batch job is due within some tens of seconds, and is tried sooner.
+A client that keeps repeating a request that crashes replicas ends four of them in the five minutes after that, instead of several in a second; a popular request that is held back wrongly is unavailable for half a minute. An item of a batch job is due within some tens of seconds, and is tried sooner.
 */
 const firstHoldMs: Readonly<Record<LoadKind, number>> = {online: 30_000, batch: 10_000};
 
-/** The longest, in milliseconds. */
+/** The longest time for which a request is held back, in milliseconds. */
 const mostHoldMs = 3_600_000;
 
-/** Crashes are remembered for longer than any hold, in milliseconds. */
+/** Crashes are retained for longer than any request is held back, in milliseconds. */
 const memoryMs = 2 * mostHoldMs;
 
-/** News is told anew with each message for this long, in milliseconds: eight messages, so that none is missed for the loss of a few. */
+/** A crash or a cleared request is announced repeatedly for this long, in milliseconds: in eight messages, so that the loss of a few does no harm. */
 const tellMs = 2000;
 
-/** Of so many requests at the most, the last ones, peers that come back are told; a peer reads the others from the records. */
+/** Maximum number of requests, the most recent ones, that are announced again when a peer joins; it reads the others from the records. */
 const maxToldAnew = 20;
 
-/** Crashes in one message, and acquittals, the newest of each; about 7 kB. */
+/** Maximum number of crashes, and of cleared requests, in one message, the newest of each; about 7 kB. */
 const maxTold = 60;
 
 /** See the module's head. */
@@ -57,7 +57,7 @@
 	readonly #parts: QuarantineParts;
 	readonly #memory = new CrashHistory();
 	readonly #events = new EventEmitter();
-	/** Requests under which enough replicas have ended, whether they may be tried by now or not. */
+	/** Requests that have reached the crash threshold, whether they may be tried again by now or not. */
 	readonly #held = new Set<ContentDigest>();
 	#toldCrashes: ReadonlyArray<Crash & {readonly at: number}> = [];
 	#toldAcquittals: ReadonlyArray<{readonly content: ContentDigest; readonly at: number}> = [];
@@ -66,17 +66,17 @@
 		this.#parts = parts;
 	}
 
-	/** Whether any request is remembered. While none is, nobody has to know what a request asks for. */
+	/** Whether crashes are recorded for any request. While there are none, no digest of a request is needed. */
 	get hasSuspects(): boolean {
 		return this.#memory.size > 0;
 	}
 
-	/** Requests that are held back, or were and may be tried. */
+	/** Requests that are held back, and those that were and may be tried again. */
 	get held(): readonly ContentDigest[] {
 		return [...this.#held];
 	}
 
-	/** Calls the listener when there is something to tell peers at once. */
+	/** Calls the listener when there is something to announce to the peers at once. */
 	onAnnouncementDue(listener: () => void): void {
 		this.#events.on('news', listener);
 	}
@@ -86,7 +86,7 @@
 		this.#events.on('held', listener);
 	}
 
-	/** Calls the listener when a request has been shown to end no replica. */
+	/** Calls the listener when the crashes of a request have been deleted. */
 	onCleared(listener: (content: ContentDigest) => void): void {
 		this.#events.on('acquitted', listener);
 	}
@@ -102,17 +102,17 @@
 		return Math.max(0, this.#memory.lastCrashAt(content) + holdMs - this.#parts.clock.now());
 	}
 
-	/** Whether a replica has ended under the request before. */
+	/** Whether a replica has ended before while running the request. */
 	isSuspected(content: ContentDigest): boolean {
 		return this.#memory.countOf(content) > 0;
 	}
 
-	/** What is known of a request, and how long ago its last crash was, in milliseconds. */
+	/** The recorded crashes of a request, and how long ago the last one was, in milliseconds. */
 	crashesOf(content: ContentDigest): {readonly starts: readonly string[]; readonly agoMs: number} {
 		return {starts: this.#memory.startsOf(content), agoMs: this.#parts.clock.now() - this.#memory.lastCrashAt(content)};
 	}
 
-	/** A replica has ended while this process had the request there. */
+	/** Records that a replica has ended while it was running the request for this process. */
 	noteCrash(content: ContentDigest, replica: ReplicaRecord): void {
 		const crash = {content, start: startOf(replica)};
 		const now = this.#parts.clock.now();
@@ -122,7 +122,7 @@
 		}
 	}
 
-	/** A replica has run the request to its end. */
+	/** Records that a replica has completed the request. */
 	noteSuccess(content: ContentDigest): void {
 		if (!this.isSuspected(content)) {
 			return;
@@ -130,13 +130,13 @@
 
 		const isUrgent = this.#held.has(content);
 		this.#toldAcquittals = [...this.#toldAcquittals, {content, at: this.#parts.clock.now()}];
-		this.clear(content, 'it has run to its end');
+		this.clear(content, 'it has completed');
 		if (isUrgent) {
 			this.#events.emit('news');
 		}
 	}
 
-	/** Forgets what is held against a request. */
+	/** Deletes the crashes of a request and releases it. */
 	clear(content: ContentDigest, reason: string): void {
 		this.#toldCrashes = this.#toldCrashes.filter(crash => crash.content !== content);
 		this.#memory.delete(content);
@@ -147,7 +147,7 @@
 		this.#events.emit('acquitted', content);
 	}
 
-	/** Takes over what a peer, or a record, says of crashes that were `agoMs` before. */
+	/** Records crashes from a peer's announcement or from a stored record, which occurred `agoMs` milliseconds ago. */
 	receiveCrashes(crashes: readonly Crash[], agoMs = 0): void {
 		const at = this.#parts.clock.now() - Math.max(0, agoMs);
 		crashes.forEach(crash => {
@@ -155,14 +155,14 @@
 		});
 	}
 
-	/** Takes over that requests have run to their end elsewhere. */
+	/** Clears requests that have completed at other processes. */
 	receiveCleared(contents: readonly ContentDigest[]): void {
 		contents.filter(content => this.isSuspected(content)).forEach(content => {
-			this.clear(content, 'it has run to its end at another process');
+			this.clear(content, 'it has completed at another process');
 		});
 	}
 
-	/** Tells peers again what more than one replica has ended under: one of them may have been cut off, or has just started. */
+	/** Announces requests with more than one crash again: a peer may have been partitioned, or may have just started. */
 	reannounce(): void {
 		const contents = this.#memory.withAtLeast(crashThreshold - 1).slice(-maxToldAnew);
 		if (contents.length > 0) {
@@ -171,7 +171,7 @@
 		}
 	}
 
-	/** What peers are to be told now; nothing to tell most of the time. */
+	/** What is to be announced to the peers now; usually empty. */
 	announcement(): CrashAnnouncement {
 		const since = this.#parts.clock.now() - tellMs;
 		this.#toldCrashes = this.#toldCrashes.filter(({at}) => at >= since);
@@ -182,11 +182,11 @@
 		};
 	}
 
-	/** Forgets what is long past. Call it every now and then. */
+	/** Deletes crashes beyond their retention time. To be called regularly. */
 	deleteExpired(): void {
 		this.#memory.deleteBefore(this.#parts.clock.now() - memoryMs);
 		this.held.filter(content => !this.isSuspected(content)).forEach(content => {
-			this.clear(content, 'its last crash is long past');
+			this.clear(content, 'its crashes have expired');
 		});
 	}
 
@@ -204,7 +204,7 @@
 		if (isNew && heldMs > 0) {
 			this.#held.add(content);
 			this.#parts.log.emit(gatewayEvents.contentQuarantined, {content, crashes: this.#memory.countOf(content), heldMs: Math.round(heldMs)});
-			// The process that saw the last crash may know of fewer than this one: it may have just started.
+			// The process that saw the last crash may have recorded fewer than this one: it may have just started.
 			this.#tellAllOf([content]);
 			this.#events.emit('news');
 			this.#events.emit('held');
--- a/src/gateway/quarantine/tracked-content.ts
+++ b/src/gateway/quarantine/tracked-content.ts
@@ -1,5 +1,5 @@
 /**
-One request as the quarantine sees it, over all its runs: whether it may be sent, and what its runs have shown.
+Applies the quarantine to one request over all its runs: tells whether it may be sent, and records the crashes and completions of its runs.
 */
 import type {EventLog} from '../../common/services.js';
 import type {ReplicaReachability} from '../contacts/replica-reachability.js';
@@ -9,7 +9,7 @@
 import {contentDigest, type ContentDigest, type RequestContent} from './content-digest.js';
 import type {Quarantine} from './quarantine.js';
 
-/** What a request is watched with. */
+/** Dependencies of the tracking. */
 export type TrackedContentParts = {
 	readonly quarantine: Quarantine;
 	readonly reachability: Pick<ReplicaReachability, 'hasEnded'>;
@@ -29,30 +29,30 @@
 		this.#content = content;
 	}
 
-	/** Made when it is first needed: most requests never need it. */
+	/** Computed when it is first needed: most requests never need it. */
 	get digest(): ContentDigest {
 		this.#digest ??= contentDigest(this.#content);
 		return this.#digest;
 	}
 
-	/** The digest, if anything has needed it yet. */
+	/** The digest, or `undefined` if it has not been needed yet. */
 	get computedDigest(): ContentDigest | undefined {
 		return this.#digest;
 	}
 
-	/** For how many more milliseconds it is not to be sent; 0 where it may be. */
+	/** For how many more milliseconds the request is not to be sent; 0 where it may be. */
 	get heldMs(): number {
 		const {quarantine} = this.#parts;
 		return quarantine.hasSuspects ? quarantine.heldMs(this.digest, this.#kind) : 0;
 	}
 
-	/** Whether a replica has ended under it before. */
+	/** Whether a replica has ended before while running it. */
 	get isSuspected(): boolean {
 		const {quarantine} = this.#parts;
 		return quarantine.hasSuspects && quarantine.isSuspected(this.digest);
 	}
 
-	/** Its connection broke within a run. Resolves once it is known whether the replica has ended. */
+	/** Records that its connection broke during a run. Resolves once it is known whether the replica has ended. */
 	async noteConnectionLost(replica: Replica): Promise<void> {
 		const {quarantine, reachability: contacts, log} = this.#parts;
 		const {record} = replica;
@@ -62,7 +62,7 @@
 		}
 	}
 
-	/** A replica has run it to its end. */
+	/** Records that a replica has completed it. */
 	noteCompleted(): void {
 		const {quarantine} = this.#parts;
 		if (quarantine.hasSuspects) {
