--- a/src/gateway/accounts/call-ranks.feature
+++ b/src/gateway/accounts/call-ranks.feature
@@ -1,9 +1,10 @@
-Feature: Ranks of calls
-  An account's priority goes before its route's. Under overload, calls that others outrank leave the places to them.
+Feature: Priority of calls by rank
+  An account's priority takes precedence over its route's. Under overload, calls of a lower rank leave the slots to those
+  of a higher one.
 
-  Scenario Outline: A call gives way only while calls of a higher rank come to its service
-    Given a call of rank <other> came to <service> <ago> ms ago
-    Then a call of rank <own> to "engines" may wait for <share> of its time
+  Scenario Outline: A call yields only while calls of a higher rank arrive at its service
+    Given a call of rank <other> arrived at <service> <ago> ms ago
+    Then a call of rank <own> to "engines" may spend <share> of its remaining time in a queue
 
     Examples:
       | other | service   | ago  | own | share |
--- a/src/gateway/accounts/call-ranks.steps.ts
+++ b/src/gateway/accounts/call-ranks.steps.ts
@@ -11,13 +11,13 @@
 
 type RanksWorld = TestWorld & {ranks: CallRanks};
 
-Given('a call of rank {int} came to {string} {int} ms ago', function (this: RanksWorld, rank: number, service: string, agoMs: number) {
+Given('a call of rank {int} arrived at {string} {int} ms ago', function (this: RanksWorld, rank: number, service: string, agoMs: number) {
 	let now = 0;
 	this.ranks = new CallRanks({now: () => now} as unknown as Clock);
 	this.ranks.note(branded<GatewayServiceName>(service), rank);
 	now = agoMs;
 });
 
-Then('a call of rank {int} to {string} may wait for {float} of its time', function (this: RanksWorld, rank: number, service: string, share: number) {
+Then('a call of rank {int} to {string} may spend {float} of its remaining time in a queue', function (this: RanksWorld, rank: number, service: string, share: number) {
 	assert.equal(this.ranks.waitShareOf(branded<GatewayServiceName>(service), rank), share);
 });
--- a/src/gateway/accounts/rate-limits.steps.ts
+++ b/src/gateway/accounts/rate-limits.steps.ts
@@ -24,7 +24,7 @@
 
 const limit: RateLimit = {perSecond: 58, burst: 58};
 
-/** Of the limit, what more may be let in within a window. */
+/** Share of the limit that may be admitted in addition within a window. */
 const overage = 0.1;
 
 const mostAllowed = (((limit.perSecond * modelWindowMs / 1000) + limit.burst) * (1 + overage)) + modelTolerance;
@@ -37,15 +37,15 @@
 
 const admitted = (decisions: readonly LimitDecision[]): number => decisions.filter(decision => 'credit' in decision).length;
 
-Given('{int} processes that tell each other of the calls they let in', function (this: LimitsWorld, processes: number) {
+Given('{int} processes that announce the calls they admit to each other', function (this: LimitsWorld, processes: number) {
 	this.load = {processes, limit, strategy: 'told'};
 });
 
-Given('{int} of them are cut off from the others for {int} s', function (this: LimitsWorld, processes: number, seconds: number) {
+Given('{int} of them are partitioned from the others for {int} s', function (this: LimitsWorld, processes: number, seconds: number) {
 	this.load = {...this.load, cut: {processes, from: 5000, until: 5000 + (seconds * 1000)}};
 });
 
-Given('all of them are started anew after {int} s', function (this: LimitsWorld, seconds: number) {
+Given('all of them are restarted after {int} s', function (this: LimitsWorld, seconds: number) {
 	this.load = {...this.load, restartAt: seconds * 1000};
 });
 
@@ -63,7 +63,7 @@
 	assert.ok(this.outcome.servedShare >= share, String(this.outcome.servedShare));
 });
 
-Given('one process and an account with {int} calls a second, and {int} on top, that has been idle', function (this: LimitsWorld, perSecond: number, burst: number) {
+Given('one process and an account with {int} calls a second and a burst of {int} that has been idle', function (this: LimitsWorld, perSecond: number, burst: number) {
 	this.now = 0;
 	this.limit = {perSecond, burst};
 	const clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined} as unknown as Clock;
@@ -73,33 +73,33 @@
 	this.now = idleMs;
 });
 
-When('its limit becomes {int} calls a second, and {int} on top', function (this: LimitsWorld, perSecond: number, burst: number) {
+When('its limit becomes {int} calls a second and a burst of {int}', function (this: LimitsWorld, perSecond: number, burst: number) {
 	admit(this, 1);
 	this.limit = {perSecond, burst};
 });
 
-Then('at most {int} of {int} calls at once are let in', function (this: LimitsWorld, most: number, calls: number) {
+Then('at most {int} of {int} calls at once are admitted', function (this: LimitsWorld, most: number, calls: number) {
 	const count = admitted(admit(this, calls));
 	assert.ok(count <= most, String(count));
 });
 
-Then('at least {int} of {int} calls at once are let in', function (this: LimitsWorld, least: number, calls: number) {
+Then('at least {int} of {int} calls at once are admitted', function (this: LimitsWorld, least: number, calls: number) {
 	const count = admitted(admit(this, calls));
 	assert.ok(count >= least, String(count));
 });
 
-When('{int} calls are let in and refused for another reason', function (this: LimitsWorld, calls: number) {
+When('{int} calls are admitted and then rejected for another reason', function (this: LimitsWorld, calls: number) {
 	admit(this, calls).forEach(decision => {
 		assert.ok('credit' in decision);
 		decision.credit.refund();
 	});
 });
 
-When('{int} calls come at once', function (this: LimitsWorld, calls: number) {
+When('{int} calls arrive at once', function (this: LimitsWorld, calls: number) {
 	this.decisions = admit(this, calls);
 });
 
-Then('the refused ones are told to come back one after the other, {int} ms apart', function (this: LimitsWorld, ms: number) {
+Then('the rejected ones are told to retry one after the other, {int} ms apart', function (this: LimitsWorld, ms: number) {
 	const waits = this.decisions.flatMap(decision => 'credit' in decision ? [] : [decision.retryAfterMs]);
 	assert.ok(waits.length > 10, String(waits.length));
 	waits.slice(1).forEach((wait, i) => {
--- a/src/gateway/contacts/replica-reachability.steps.ts
+++ b/src/gateway/contacts/replica-reachability.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the contacts, with connections and a clock that the steps set.
+Steps for the reachability of replicas, with connections and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -26,7 +26,7 @@
 
 const contactOf = (world: ContactsWorld) => world.contacts.of(replicaOf(world, 'r1'));
 
-/** Far later than any process would wait, in milliseconds. */
+/** Longer than any process would wait, in milliseconds. */
 const muchLaterMs = 1_000_000;
 
 Given('replica {string} is known', function (this: ContactsWorld, id: string) {
@@ -46,35 +46,35 @@
 	}));
 });
 
-Given('{int} connections were made within {int} ms each', function (this: ContactsWorld, count: number, ms: number) {
+Given('{int} connections were established within {int} ms each', function (this: ContactsWorld, count: number, ms: number) {
 	Array.from({length: count}).forEach(() => {
 		contactOf(this).noteConnected(ms);
 	});
 });
 
-Given('{int} connections were made within {int} and {int} ms by turns', function (this: ContactsWorld, count: number, fast: number, slow: number) {
+Given('{int} connections were established within {int} and {int} ms alternately', function (this: ContactsWorld, count: number, fast: number, slow: number) {
 	Array.from({length: count}).forEach((_, i) => {
 		contactOf(this).noteConnected(i % 2 === 0 ? fast : slow);
 	});
 });
 
-Given('no connection can be made', function (this: ContactsWorld) {
+Given('no connection can be established', function (this: ContactsWorld) {
 	this.canConnect = false;
 });
 
-Given('{string} was last heard {int} ms ago', function (this: ContactsWorld, id: string, ms: number) {
+Given('{string} last sent bytes {int} ms ago', function (this: ContactsWorld, id: string, ms: number) {
 	replicaOf(this, id).heardAt = this.now - ms;
 });
 
-When('a connection to {string} was not made in time', function (this: ContactsWorld, id: string) {
+When('a connection to {string} was not established in time', function (this: ContactsWorld, id: string) {
 	this.contacts.noteUnreachable(replicaOf(this, id));
 });
 
-When('a call at {string} goes silent', function (this: ContactsWorld, id: string) {
+When('a call at {string} times out without a byte', function (this: ContactsWorld, id: string) {
 	replicaOf(this, id).noteFailure(this.now);
 });
 
-When('connections can be made again', function (this: ContactsWorld) {
+When('connections can be established again', function (this: ContactsWorld) {
 	this.canConnect = true;
 });
 
@@ -83,7 +83,7 @@
 	this.answers = await Promise.all(Array.from({length: count}, async () => this.contacts.of(replica).isReachable()));
 });
 
-When('{int} calls that broke at {string} ask whether it has ended', async function (this: ContactsWorld, count: number, id: string) {
+When('{int} calls whose connections to {string} broke ask whether it has ended', async function (this: ContactsWorld, count: number, id: string) {
 	const replica = replicaOf(this, id);
 	this.answers = await Promise.all(Array.from({length: count}, async () => this.contacts.hasEnded(replica)));
 });
@@ -97,16 +97,16 @@
 	assert.ok(connectMs > least && connectMs <= most, String(connectMs));
 });
 
-Then('{string} is doubted for good', function (this: ContactsWorld, id: string) {
+Then('{string} is excluded indefinitely', function (this: ContactsWorld, id: string) {
 	assert.ok(replicaOf(this, id).isBackedOff(this.now + muchLaterMs));
 });
 
-Then('{string} is trusted after another connection was tried', async function (this: ContactsWorld, id: string) {
+Then('{string} is used again after another connection was tried', async function (this: ContactsWorld, id: string) {
 	await until(() => !replicaOf(this, id).isBackedOff(this.now), `${id} is trusted`);
 	assert.ok(this.dials > 0);
 });
 
-Then('they are told {word}, after {int} connection(s) was/were tried', function (this: ContactsWorld, answer: string, dials: number) {
+Then('the answer is {word}, after {int} connection(s) was/were tried', function (this: ContactsWorld, answer: string, dials: number) {
 	assert.deepEqual(new Set(this.answers), new Set([answer === 'yes']));
 	assert.equal(this.dials, dials);
 });
--- a/src/gateway/peers/object-relay.steps.ts
+++ b/src/gateway/peers/object-relay.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for a relay whose object API is away, and which has no peer to ask.
+Steps for a relay whose object API is unavailable and which has no peer to relay through.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -36,11 +36,11 @@
 	}));
 };
 
-Given('a relay whose object API answers nothing within {int} ms', function (this: RelayWorld, ms: number) {
+Given('a relay whose object API fails calls without an answer after {int} ms', function (this: RelayWorld, ms: number) {
 	relayTo(this, ms);
 });
 
-Given('a relay whose object API refuses at once', function (this: RelayWorld) {
+Given('a relay whose object API rejects calls at once', function (this: RelayWorld) {
 	relayTo(this, 0);
 });
 
@@ -50,7 +50,7 @@
 	this.tries = 0;
 });
 
-When('the relay is disposed of within its next try', async function (this: RelayWorld) {
+When('the relay is disposed of during its next attempt', async function (this: RelayWorld) {
 	await until(() => this.tries > 0, 'the object API is tried');
 	this.relay.dispose();
 	this.tries = 0;
--- a/src/gateway/peers/shared-checks.steps.ts
+++ b/src/gateway/peers/shared-checks.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for shared checks, on an object API in memory whose watches can go silent.
+Steps for shared checks, on an object API in memory whose watches can stall.
 */
 import assert from 'node:assert/strict';
 import {EventEmitter, once} from 'node:events';
@@ -36,10 +36,10 @@
 /** Longer than any scenario, in milliseconds. */
 const watchMs = 20_000;
 
-/** A message takes this long, in milliseconds. */
+/** Delay of a message between processes, in milliseconds. */
 const travelMs = 3;
 
-/** Without a read, each process tells its state this often, in milliseconds. */
+/** Interval at which each process announces its state without a poll, in milliseconds. */
 const tellEveryMs = 60;
 
 const watchThatNeverEnds = once(new EventEmitter(), 'never') as Promise<never>;
@@ -62,7 +62,7 @@
 	}, travelMs);
 };
 
-/** Watches of a silent process wait in vain; its other calls are answered. */
+/** The watches of a stalled process never end; its other calls are answered. */
 const apiOf = (world: ChecksWorld, isSilent: () => boolean): FakeObjectApi => new Proxy(world.api, {
 	get(api, name: keyof FakeObjectApi) {
 		if (name !== 'watch') {
@@ -121,12 +121,12 @@
 	processes.forEach(process => {
 		process.isSilent = true;
 	});
-	// The watches under way end with a change, and the silent ones follow.
+	// The watches that are open end with a change, and the stalled ones follow.
 	await world.api.create('GatewayConfig', 'before', {});
 	await sleep(150);
 };
 
-Given('{int} processes that check each other\'s knowledge every {int} ms', async function (this: ChecksWorld, count: number, everyMs: number) {
+Given('{int} processes that check each other\'s state every {int} ms', async function (this: ChecksWorld, count: number, everyMs: number) {
 	this.api = new FakeObjectApi();
 	await this.api.create('GatewayConfig', 'first', {});
 	this.processes = [];
@@ -145,11 +145,11 @@
 	assert.ok(reads >= least && reads <= most, String(reads));
 });
 
-Given('the watches of all processes but the last one are silent', async function (this: ChecksWorld) {
+Given('the watches of all processes but the last one are stalled', async function (this: ChecksWorld) {
 	await silence(this, this.processes.slice(0, -1));
 });
 
-Given('the watches of all processes are silent', async function (this: ChecksWorld) {
+Given('the watches of all processes are stalled', async function (this: ChecksWorld) {
 	await silence(this, this.processes);
 });
 
@@ -164,7 +164,7 @@
 	await this.api.create('GatewayConfig', 'main', {version: 2});
 });
 
-Then('every process knows it within {int} ms', async function (this: ChecksWorld, ms: number) {
+Then('every process has received it within {int} ms', async function (this: ChecksWorld, ms: number) {
 	await sleep(ms);
 	const written = this.api.all('GatewayConfig').find(({name}) => name === 'main');
 	assert.deepEqual(running(this).filter(({feed}) => (feed.revision ?? 0) < written!.version).map(({name}) => name), []);
@@ -176,7 +176,7 @@
 	this.api.down = false;
 });
 
-Then('every process has noticed, and knows that it is over within {int} ms', async function (this: ChecksWorld, ms: number) {
+Then('every process has detected the outage, and its end within {int} ms', async function (this: ChecksWorld, ms: number) {
 	await sleep(ms);
 	assert.deepEqual(running(this).filter(({hasNoticed}) => !hasNoticed).map(({name}) => name), []);
 	assert.deepEqual(running(this).filter(({feed}) => feed.isUnreachable).map(({name}) => name), []);
--- a/src/gateway/quarantine/content-digest.feature
+++ b/src/gateway/quarantine/content-digest.feature
@@ -1,8 +1,8 @@
-Feature: What is the same request under another id
-  A caller that tries again has a new id each time. What a request has done to the replicas that ran it is remembered
-  by what it asks for.
+Feature: Digest of a request's content
+  A caller that retries uses a new id each time. The crashes of replicas that ran a request are therefore recorded by its
+  content.
 
-  Scenario Outline: The digest tells other content apart
+  Scenario Outline: The digest distinguishes different content
     Given the content "POST boards.example /alert/1?lang=pt" with the body "prompt"
     Then its digest <outcome> that of "<other>" with the body "<body>"
 
--- a/src/gateway/quarantine/content-digest.steps.ts
+++ b/src/gateway/quarantine/content-digest.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the digest of what a request asks for.
+Steps for the digest of a request's content.
 */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -8,7 +8,7 @@
 
 type DigestWorld = {digest: ContentDigest};
 
-/** @param request - Method, host and target, parted by spaces. */
+/** @param request - Method, host and target, separated by spaces. */
 const digestOf = (request: string, body: string): ContentDigest => {
 	const [method, host, target] = request.split(' ') as [string, string, string];
 	return contentDigest({
--- a/src/gateway/quarantine/quarantine-records.steps.ts
+++ b/src/gateway/quarantine/quarantine-records.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the records of requests that are held back, on an object API in memory.
+Steps for the quarantine records, on an object API in memory.
 */
 import assert from 'node:assert/strict';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -32,10 +32,10 @@
 const clock = new SystemClock();
 const content = 'c0ffee' as ContentDigest;
 
-/** Longer than the pause between two tries, in milliseconds. */
+/** Longer than the pause between two attempts, in milliseconds. */
 const twoTriesMs = 1300;
 
-/** Within this, in milliseconds, a feed hears of a change. */
+/** Within this time, in milliseconds, a feed receives a change. */
 const newsMs = 200;
 
 const replicaOf = (number: number): ReplicaRecord => ({
@@ -89,20 +89,20 @@
 	start(this, name);
 });
 
-When('{int} replicas end under a request at {string}', function (this: RecordsWorld, count: number, name: string) {
+When('{int} replicas crash during a request of {string}', function (this: RecordsWorld, count: number, name: string) {
 	endReplicas(processOf(this, name), count);
 });
 
-When('{int} replicas end under a request at {string}, and {string} hears of it', function (this: RecordsWorld, count: number, name: string, other: string) {
+When('{int} replicas crash during a request of {string}, and {string} receives the announcement', function (this: RecordsWorld, count: number, name: string, other: string) {
 	endReplicas(processOf(this, name), count);
 	processOf(this, other).quarantine.receiveCrashes(processOf(this, name).quarantine.announcement().crashes);
 });
 
-Given('the object API is away', function (this: RecordsWorld) {
+Given('the object API is unavailable', function (this: RecordsWorld) {
 	this.api.down = true;
 });
 
-When('the object API is back after two tries', async function (this: RecordsWorld) {
+When('the object API is available again after two attempts', async function (this: RecordsWorld) {
 	await pause(twoTriesMs);
 	assert.equal(recordsIn(this).length <= 1, true);
 	this.api.down = false;
@@ -113,17 +113,17 @@
 	assert.ok(removed.isRight());
 });
 
-When('a replica runs the request to its end for {string}', function (this: RecordsWorld, name: string) {
+When('a replica completes the request for {string}', function (this: RecordsWorld, name: string) {
 	processOf(this, name).quarantine.noteSuccess(content);
 });
 
-When('a record is written that tells no replicas', async function (this: RecordsWorld) {
+When('a record is written that lists no replicas', async function (this: RecordsWorld) {
 	await this.api.create('Quarantine', content, {starts: 'all'});
 	await pause(newsMs);
 });
 
 Then('one record of the request is written', async function (this: RecordsWorld) {
-	await until(() => recordsIn(this).length === 1, 'the record stands in the object API');
+	await until(() => recordsIn(this).length === 1, 'the record is stored in the object API');
 });
 
 Then('the object API got {int} call(s) to create it', async function (this: RecordsWorld, count: number) {
@@ -135,10 +135,10 @@
 	await until(() => isHeld(this, name), `${name} holds the request back`);
 });
 
-Then('{string} lets the request go', async function (this: RecordsWorld, name: string) {
-	await until(() => !isHeld(this, name), `${name} lets the request go`);
+Then('{string} releases the request', async function (this: RecordsWorld, name: string) {
+	await until(() => !isHeld(this, name), `${name} releases the request`);
 });
 
-Then('no record is left', async function (this: RecordsWorld) {
+Then('no record remains', async function (this: RecordsWorld) {
 	await until(() => recordsIn(this).length === 0, 'the record is removed');
 });
--- a/src/gateway/quarantine/quarantine.steps.ts
+++ b/src/gateway/quarantine/quarantine.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for requests that are held back, with a clock that the steps set, and with a model of the load.
+Steps for the quarantine, with a clock that the steps set, and with a model of the load.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -17,13 +17,13 @@
 type QuarantineWorld = {
 	now: number;
 	quarantine: Quarantine;
-	/** When there was last something to tell at once. */
+	/** When an announcement was last due at once. */
 	toldAt: number;
 	/** Replicas that have ended so far. */
 	ended: number;
 	poison: number;
 	perSecond: number;
-	/** Half of the replicas end at once now and then, and some calls ask for the same. */
+	/** Half of the replicas end at once at the given times, and some calls have the same content. */
 	popular: Pick<PoisonLoad, 'popularShare' | 'outagesAt'>;
 	outcomes: PoisonOutcome[];
 };
@@ -49,7 +49,7 @@
 	world.quarantine.noteCrash(content, replicaOf(world.ended));
 };
 
-Given('a request under which {int} replica(s) has/have ended', function (this: QuarantineWorld, count: number) {
+Given('a request during which {int} replica(s) has/have crashed', function (this: QuarantineWorld, count: number) {
 	this.now = 1000;
 	this.ended = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
@@ -62,27 +62,27 @@
 	});
 });
 
-When('another replica ends under it', function (this: QuarantineWorld) {
+When('another replica crashes during it', function (this: QuarantineWorld) {
 	endAnother(this);
 });
 
-When('another start of one of these replicas ends under it', function (this: QuarantineWorld) {
+When('another start of one of these replicas crashes during it', function (this: QuarantineWorld) {
 	this.quarantine.noteCrash(content, replicaOf(1, 2));
 });
 
-When('a peer tells of {int} other replicas that ended under it', function (this: QuarantineWorld, count: number) {
+When('a peer announces {int} other replicas that crashed during it', function (this: QuarantineWorld, count: number) {
 	this.quarantine.receiveCrashes(Array.from({length: count}, (_, i) => crashOf(100 + i)));
 });
 
-When('a peer tells of the same replicas', function (this: QuarantineWorld) {
+When('a peer announces the same replicas', function (this: QuarantineWorld) {
 	this.quarantine.receiveCrashes(Array.from({length: this.ended}, (_, i) => crashOf(i + 1)));
 });
 
-When('a peer tells that it has run to its end', function (this: QuarantineWorld) {
+When('a peer announces that it has completed', function (this: QuarantineWorld) {
 	this.quarantine.receiveCleared([content]);
 });
 
-When('a replica runs it to its end', function (this: QuarantineWorld) {
+When('a replica completes it', function (this: QuarantineWorld) {
 	this.quarantine.noteSuccess(content);
 });
 
@@ -104,27 +104,27 @@
 	assert.equal(this.quarantine.heldMs(content, 'batch'), item * 1000);
 });
 
-Then('peers are told of {int} crashes', function (this: QuarantineWorld, count: number) {
+Then('peers are sent {int} crashes', function (this: QuarantineWorld, count: number) {
 	assert.equal(this.quarantine.announcement().crashes.length, count);
 });
 
-Then('peers are told of {int} crashes, at once', function (this: QuarantineWorld, count: number) {
+Then('peers are sent {int} crashes at once', function (this: QuarantineWorld, count: number) {
 	assert.equal(this.toldAt, this.now);
 	assert.equal(this.quarantine.announcement().crashes.length, count);
 });
 
-Then('peers are told that it was cleared, and of the last crash', function (this: QuarantineWorld) {
+Then('peers are sent its clearance and the last crash', function (this: QuarantineWorld) {
 	const {crashes, acquitted} = this.quarantine.announcement();
 	assert.deepEqual(acquitted, [content]);
 	assert.deepEqual(crashes, [crashOf(this.ended)]);
 });
 
-Given('{int} request(s) that end(s) replicas among {int} calls a second', function (this: QuarantineWorld, poison: number, perSecond: number) {
+Given('{int} request(s) that crash(es) replicas among {int} calls a second', function (this: QuarantineWorld, poison: number, perSecond: number) {
 	this.poison = poison;
 	this.perSecond = perSecond;
 });
 
-When('nobody is held back', function (this: QuarantineWorld) {
+When('no request is held back', function (this: QuarantineWorld) {
 	this.outcomes = play(this, Infinity);
 });
 
@@ -132,15 +132,15 @@
 	this.outcomes = play(this, crashThreshold);
 });
 
-Given('half of the replicas end at once five times, and a tenth of the calls asks for the same', function (this: QuarantineWorld) {
+Given('half of the replicas end at once five times, and a tenth of the calls has the same content', function (this: QuarantineWorld) {
 	this.popular = {popularShare: 0.1, outagesAt: [3000, 6500, 10_000, 13_500, 17_000]};
 });
 
-When('requests are held back by their part of the blame', function (this: QuarantineWorld) {
+When('requests are held back by their shares of the crashes', function (this: QuarantineWorld) {
 	this.outcomes = play(this, crashThreshold, 'shared');
 });
 
-Then('at most {int} in a hundred calls for it are refused', function (this: QuarantineWorld, share: number) {
+Then('at most {int} in a hundred calls for it are rejected', function (this: QuarantineWorld, share: number) {
 	const refused = meanOf(this.outcomes, outcome => outcome.popularHeld);
 	assert.ok(100 * refused <= share * meanOf(this.outcomes, outcome => outcome.popular), String(refused));
 });
