--- a/src/gateway/accounts/call-ranks.ts
+++ b/src/gateway/accounts/call-ranks.ts
@@ -5,7 +5,7 @@
 import type {GatewayServiceName} from '../types.js';
 
 /** A rank counts as active for this long after its last call, in milliseconds. */
-const seenForMs = 2000;
+const activeForMs = 2000;
 
 /** The share of its remaining time that an outranked call may spend in a queue. */
 const outrankedShare = 0.75;
@@ -30,6 +30,6 @@
 	waitShareOf(service: GatewayServiceName, rank: number): number {
 		const now = this.#clock.now();
 		const ranks = [...this.#seenAt.get(service) ?? []];
-		return ranks.some(([other, seenAt]) => other < rank && now - seenAt < seenForMs) ? outrankedShare : 1;
+		return ranks.some(([other, seenAt]) => other < rank && now - seenAt < activeForMs) ? outrankedShare : 1;
 	}
 }
--- a/src/gateway/accounts/caller-gate.ts
+++ b/src/gateway/accounts/caller-gate.ts
@@ -98,8 +98,8 @@
 	}
 
 	#isStale(): boolean {
-		const {clock, configConfirmedAt: configHeardAt, staleAfterMs} = this.#parts;
-		return staleAfterMs !== undefined && clock.now() - configHeardAt() > staleAfterMs;
+		const {clock, configConfirmedAt, staleAfterMs} = this.#parts;
+		return staleAfterMs !== undefined && clock.now() - configConfirmedAt() > staleAfterMs;
 	}
 
 	#refuse({id}: CallHead, reason: RefusalReason, refusal: GateRefusal, account?: ClientAccount): Either<GateRefusal, never> {
--- a/src/gateway/accounts/rate-limits.ts
+++ b/src/gateway/accounts/rate-limits.ts
@@ -17,13 +17,13 @@
 const countedBeforeMs = 5000;
 
 /** The bucket of an account without calls for this long, in milliseconds, is removed; it is full by then. */
-const forgottenMs = 60_000;
+const retainIdleMs = 60_000;
 
 /** Interval at which an account over its limit is logged, in milliseconds, in addition to each rejected call. */
-const reportEveryMs = 1000;
+const reportIntervalMs = 1000;
 
 /** Registered processes that were never seen are assumed to use their share for this long after the start, in milliseconds; the records of removed VMs stay longer. */
-const unknownForMs = 30_000;
+const unknownShareForMs = 30_000;
 
 /** Dependencies of the limits. */
 export type RateLimitsParts = {
@@ -92,7 +92,7 @@
 	/** Usage to announce to the peers now. */
 	announcement(): readonly AccountUsage[] {
 		const now = this.#parts.clock.now();
-		this.#forgetIdle(now);
+		this.#removeIdle(now);
 		return [...this.#buckets]
 			.filter(([, {ownChangedAt}]) => now - ownChangedAt < repeatedForMs)
 			.map(([account, {usage}]) => ({account, ...usage}));
@@ -111,9 +111,9 @@
 	}
 
 	#bucketOf(account: ClientAccountName, limit: RateLimit, now: number): SharedBucket {
-		const known = this.#buckets.get(account);
-		if (known) {
-			return known;
+		const existing = this.#buckets.get(account);
+		if (existing) {
+			return existing;
 		}
 
 		const bucket = new SharedBucket(limit, {tolerance: this.#parts.tolerance, idleMs: now - this.#startedAt, now});
@@ -124,16 +124,16 @@
 	#membership(now: number): Membership {
 		const live = this.#parts.livePeers();
 		const registered = Math.max(this.#parts.registeredCount(), live.size + 1);
-		const isYoung = now - this.#startedAt < unknownForMs;
+		const hasJustStarted = now - this.#startedAt < unknownShareForMs;
 		return {
 			isLivePeer: peer => live.has(peer),
-			unknownShare: isYoung ? (registered - 1 - live.size) / registered : 0,
+			unknownShare: hasJustStarted ? (registered - 1 - live.size) / registered : 0,
 			leastShare: 1 / registered,
 		};
 	}
 
-	#forgetIdle(now: number) {
-		[...this.#buckets].filter(([, {changedAt}]) => now - changedAt > forgottenMs).forEach(([account]) => {
+	#removeIdle(now: number) {
+		[...this.#buckets].filter(([, {changedAt}]) => now - changedAt > retainIdleMs).forEach(([account]) => {
 			this.#buckets.delete(account);
 			this.#refusals.delete(account);
 		});
@@ -143,7 +143,7 @@
 		const refusals = this.#refusals.get(account) ?? {count: 0, reportedAt: -Infinity};
 		this.#refusals.set(account, refusals);
 		refusals.count += 1;
-		if (now - refusals.reportedAt < reportEveryMs) {
+		if (now - refusals.reportedAt < reportIntervalMs) {
 			return;
 		}
 
--- a/src/gateway/accounts/rate-meter.ts
+++ b/src/gateway/accounts/rate-meter.ts
@@ -3,7 +3,7 @@
 */
 
 /** The time over which the count decays to about a third, in milliseconds. */
-const fadeMs = 1000;
+const decayMs = 1000;
 
 /** See the module's head. Times are milliseconds on the monotonic clock. */
 export class RateMeter {
@@ -11,16 +11,16 @@
 	#countedAt = 0;
 
 	note(count: number, now: number): void {
-		this.#count = (this.#count * this.#faded(now)) + count;
+		this.#count = (this.#count * this.#decayFactor(now)) + count;
 		this.#countedAt = now;
 	}
 
 	/** Per second. */
 	perSecond(now: number): number {
-		return this.#count * this.#faded(now) * (1000 / fadeMs);
+		return this.#count * this.#decayFactor(now) * (1000 / decayMs);
 	}
 
-	#faded(now: number): number {
-		return Math.exp((this.#countedAt - now) / fadeMs);
+	#decayFactor(now: number): number {
+		return Math.exp((this.#countedAt - now) / decayMs);
 	}
 }
--- a/src/gateway/accounts/shared-bucket.ts
+++ b/src/gateway/accounts/shared-bucket.ts
@@ -8,23 +8,23 @@
 import {RateMeter} from './rate-meter.js';
 
 /** Usual maximum age of the peers' announcements, in seconds. */
-const newsLagS = 0.2;
+const announcementLagS = 0.2;
 
 /** Near the limit, the rest of the burst is spent over about this long, in seconds. */
 const burstSpreadS = 0.5;
 
 /** A process may save up the refill of its share over this long, in seconds, and at least one call. */
-const savedS = 0.25;
+const maxSavedS = 0.25;
 
 /** An unresponsive peer is assumed to continue admitting calls at its last rate for this long, in milliseconds: it may be partitioned and alive. */
-const silentPeerMs = 30_000;
+const unresponsivePeerMs = 30_000;
 
 /** The part of the tolerance by which the estimate may be overdrawn: a process that has just started assumes an empty bucket. The rest covers late announcements. */
 const overdraftShare = 0.8;
 
 /** Bounds of Retry-After, in milliseconds. */
-const leastWaitMs = 50;
-const mostWaitMs = 10_000;
+const minWaitMs = 50;
+const maxWaitMs = 10_000;
 
 /** The last announcement of one peer. */
 type PeerUse = {
@@ -126,22 +126,22 @@
 	@param isNewPeer - Whether the peer has started within the time that counts, so that all it has admitted does.
 	*/
 	receiveUsage(peer: MemberName, {admitted, asked}: Omit<AccountUsage, 'account'>, {isNewPeer, now}: {isNewPeer: boolean; now: number}): void {
-		const known = this.#peers.get(peer) ?? {
+		const previous = this.#peers.get(peer) ?? {
 			admitted: isNewPeer ? 0 : admitted, asked: isNewPeer ? 0 : asked, announcedAt: now, rate: new RateMeter(),
 		};
-		this.#peers.set(peer, known);
+		this.#peers.set(peer, previous);
 		// Fewer calls than before: the peer has restarted, or has removed an account that was idle.
-		const hasStartedAnew = asked < known.asked;
-		const newlyAdmitted = hasStartedAnew ? admitted : admitted - known.admitted;
-		const newlyAsked = hasStartedAnew ? asked : asked - known.asked;
-		known.admitted = admitted;
-		known.asked = asked;
-		known.announcedAt = now;
+		const hasRestarted = asked < previous.asked;
+		const newlyAdmitted = hasRestarted ? admitted : admitted - previous.admitted;
+		const newlyAsked = hasRestarted ? asked : asked - previous.asked;
+		previous.admitted = admitted;
+		previous.asked = asked;
+		previous.announcedAt = now;
 		if (newlyAdmitted === 0 && newlyAsked === 0) {
 			return;
 		}
 
-		known.rate.note(newlyAdmitted, now);
+		previous.rate.note(newlyAdmitted, now);
 		this.#peerDemand.note(newlyAsked, now);
 		this.#level -= newlyAdmitted;
 		this.#changedAt = now;
@@ -150,18 +150,18 @@
 	/** @returns The refill rate for this process and its live peers, in calls a second. */
 	#fill(membership: Membership, now: number): number {
 		const {perSecond, burst} = this.#limit;
-		const refill = Math.max(perSecond * membership.leastShare, (perSecond * (1 - membership.unknownShare)) - this.#silentPeersPerSecond(membership, now));
+		const refill = Math.max(perSecond * membership.leastShare, (perSecond * (1 - membership.unknownShare)) - this.#unresponsivePeersPerSecond(membership, now));
 		const seconds = (now - this.#filledAt) / 1000;
 		this.#filledAt = now;
 		this.#level = Math.min(burst, this.#level + (refill * seconds));
-		const part = this.#sharePerSecond(refill, now);
-		this.#credit = Math.min(Math.max(1, part * savedS), this.#credit + (part * seconds));
+		const ownShare = this.#sharePerSecond(refill, now);
+		this.#credit = Math.min(Math.max(1, ownShare * maxSavedS), this.#credit + (ownShare * seconds));
 		return refill;
 	}
 
-	#silentPeersPerSecond(membership: Membership, now: number): number {
+	#unresponsivePeersPerSecond(membership: Membership, now: number): number {
 		return [...this.#peers]
-			.filter(([peer, {announcedAt}]) => !membership.isLivePeer(peer) && now - announcedAt < silentPeerMs)
+			.filter(([peer, {announcedAt}]) => !membership.isLivePeer(peer) && now - announcedAt < unresponsivePeerMs)
 			.reduce((sum, [, {rate, announcedAt}]) => sum + rate.perSecond(announcedAt), 0);
 	}
 
@@ -169,14 +169,14 @@
 	#sharePerSecond(refill: number, now: number): number {
 		const own = this.#ownDemand.perSecond(now);
 		const all = own + this.#peerDemand.perSecond(now);
-		const free = refill + (Math.max(0, this.#level) / burstSpreadS);
-		return all === 0 ? free : free * own / all;
+		const available = refill + (Math.max(0, this.#level) / burstSpreadS);
+		return all === 0 ? available : available * own / all;
 	}
 
 	#isScarce(now: number): boolean {
 		const demand = this.#ownDemand.perSecond(now) + this.#peerDemand.perSecond(now);
-		const unseen = Math.min(demand * newsLagS, this.#limit.burst / 2);
-		return this.#level < Math.max(1, unseen) - (this.#tolerance * overdraftShare);
+		const unannounced = Math.min(demand * announcementLagS, this.#limit.burst / 2);
+		return this.#level < Math.max(1, unannounced) - (this.#tolerance * overdraftShare);
 	}
 
 	#takeCredit(): boolean {
@@ -190,9 +190,9 @@
 
 	/** Spreads rejected callers over the times at which calls will be admitted. */
 	#waitMs(sharePerSecond: number, now: number): number {
-		const gapMs = sharePerSecond > 0 ? 1000 / sharePerSecond : mostWaitMs;
+		const gapMs = sharePerSecond > 0 ? 1000 / sharePerSecond : maxWaitMs;
 		this.#nextFreeAt = Math.max(now, this.#nextFreeAt) + gapMs;
-		const waitMs = Math.min(mostWaitMs, Math.max(leastWaitMs, this.#nextFreeAt - now));
+		const waitMs = Math.min(maxWaitMs, Math.max(minWaitMs, this.#nextFreeAt - now));
 		this.#nextFreeAt = now + waitMs;
 		return waitMs;
 	}
--- a/src/gateway/contacts/expected-time.ts
+++ b/src/gateway/contacts/expected-time.ts
@@ -3,14 +3,14 @@
 */
 
 /** Weights of a new observation in the moving mean and the moving deviation, as in RFC 6298. */
-const meanShare = 1 / 8;
-const deviationShare = 1 / 4;
+const meanWeight = 1 / 8;
+const deviationWeight = 1 / 4;
 
 /** The limit is the mean plus this many deviations, as in RFC 6298. */
-const deviations = 4;
+const deviationFactor = 4;
 
 /** With fewer observations the limit is the ceiling. The deviation starts at half of the first duration, so that the limit starts at three times the observed one and takes effect early: replicas may also become unreachable in the first seconds of a process. */
-const leastObservations = 3;
+const minObservations = 3;
 
 /** Bounds of a limit, in milliseconds. */
 export type LimitBounds = {
@@ -41,13 +41,13 @@
 			return;
 		}
 
-		this.#deviation += deviationShare * (Math.abs(ms - this.#mean) - this.#deviation);
-		this.#mean += meanShare * (ms - this.#mean);
+		this.#deviation += deviationWeight * (Math.abs(ms - this.#mean) - this.#deviation);
+		this.#mean += meanWeight * (ms - this.#mean);
 	}
 
 	/** @returns The upper limit, in milliseconds, that a duration exceeds only in case of a fault. */
 	limitMs({floorMs, ceilingMs}: LimitBounds): number {
-		const expected = this.#mean + (deviations * this.#deviation);
-		return this.#observations < leastObservations ? ceilingMs : Math.min(ceilingMs, Math.max(floorMs, expected));
+		const expected = this.#mean + (deviationFactor * this.#deviation);
+		return this.#observations < minObservations ? ceilingMs : Math.min(ceilingMs, Math.max(floorMs, expected));
 	}
 }
--- a/src/gateway/contacts/recent-outcomes.ts
+++ b/src/gateway/contacts/recent-outcomes.ts
@@ -11,10 +11,10 @@
 const halfLifeMs = 3000;
 
 /** Counts with fewer failures than this are discarded. */
-const leastFailures = 0.05;
+const minFailures = 0.05;
 
 /** Successes that are assumed in addition to the observed ones: the first failure of a replica that has had few requests says little. */
-const presumedGood = 4;
+const presumedSuccesses = 4;
 
 /** Requests that have ended, and how many of them failed; both counts decay with age. */
 export type OutcomeCounts = {
@@ -27,9 +27,9 @@
 
 const none: CountsAt = {requests: 0, failures: 0, at: 0};
 
-const faded = ({requests, failures, at}: CountsAt, now: number): OutcomeCounts => {
-	const left = 0.5 ** ((now - at) / halfLifeMs);
-	return {requests: requests * left, failures: failures * left};
+const decayed = ({requests, failures, at}: CountsAt, now: number): OutcomeCounts => {
+	const remaining = 0.5 ** ((now - at) / halfLifeMs);
+	return {requests: requests * remaining, failures: failures * remaining};
 };
 
 const sum = (all: readonly OutcomeCounts[]): OutcomeCounts => ({
@@ -44,7 +44,7 @@
 
 	/** Records that a request of this process has ended. */
 	note(hasFailed: boolean, now: number): void {
-		const {requests, failures} = faded(this.#own, now);
+		const {requests, failures} = decayed(this.#own, now);
 		this.#own = {requests: requests + 1, failures: failures + (hasFailed ? 1 : 0), at: now};
 	}
 
@@ -55,7 +55,7 @@
 
 	/** Counts of this process's own requests. */
 	ownCounts(now: number): OutcomeCounts {
-		return faded(this.#own, now);
+		return decayed(this.#own, now);
 	}
 
 	/** @returns The share of requests that failed, from 0 to 1; 0 where none failed recently. */
@@ -64,16 +64,16 @@
 			return 0;
 		}
 
-		const {requests, failures} = sum([this.#own, ...this.#peers.values()].map(counts => faded(counts, now)));
-		if (failures < leastFailures) {
-			this.#forget();
+		const {requests, failures} = sum([this.#own, ...this.#peers.values()].map(counts => decayed(counts, now)));
+		if (failures < minFailures) {
+			this.#discard();
 			return 0;
 		}
 
-		return failures / (requests + presumedGood);
+		return failures / (requests + presumedSuccesses);
 	}
 
-	#forget() {
+	#discard() {
 		this.#peers.clear();
 		this.#own = {...this.#own, failures: 0};
 	}
--- a/src/gateway/contacts/replica-reachability.ts
+++ b/src/gateway/contacts/replica-reachability.ts
@@ -27,14 +27,14 @@
 const connectBounds: LimitBounds = {floorMs: 60, ceilingMs: 300};
 
 /** Bounds of the time without a byte after which reachability is checked. Engines send something every 30 ms while they serve a request, and nothing while it waits for a slot. Below the floor, ordinary jitter would cause checks; above the ceiling, a stream that continues at another replica has a pause that its caller notices. */
-const suspectBounds: LimitBounds = {floorMs: 100, ceilingMs: 250};
+const probeBounds: LimitBounds = {floorMs: 100, ceilingMs: 250};
 
 /** A replica that was just reached is not checked again for this long, in milliseconds: in a burst many calls wait for a slot at once, and each connection takes some of the replica's time. */
-const trustMs = 500;
+const recheckAfterMs = 500;
 
 /** An unreachable replica is tried again after this delay, which doubles with each further attempt up to the maximum; in milliseconds. A crashed process is back after some seconds. */
-const firstTryMs = 250;
-const mostTryMs = 1000;
+const firstRetryMs = 250;
+const maxRetryMs = 1000;
 
 /** What one attempt reports about the reachability of its replica, and asks about it. */
 export type AttemptReachability = {
@@ -55,34 +55,34 @@
 	readonly #connectTimes = new Map<string, ExpectedTime>();
 	readonly #pauses = new Map<GatewayServiceName, ExpectedTime>();
 	readonly #checks = new Map<Replica, Promise<boolean>>();
-	readonly #endings = new Map<Replica, Promise<boolean>>();
-	readonly #tries = new Map<Replica, NodeJS.Timeout>();
+	readonly #endChecks = new Map<Replica, Promise<boolean>>();
+	readonly #retries = new Map<Replica, NodeJS.Timeout>();
 
 	constructor(parts: ReplicaReachabilityParts) {
 		this.#parts = parts;
 		parts.directory.onChange(({replica, change}) => {
 			if (change === 'left' || change === 'restarted') {
-				this.#forget(replica);
+				this.#cancelRetry(replica);
 			}
 		});
 	}
 
 	/** The reachability of a replica, for one attempt there. */
 	of(replica: Replica): AttemptReachability {
-		let heardAt: number | undefined;
+		let lastBytesAt: number | undefined;
 		return {
-			connectTimeoutMs: this.#connectMs(replica),
-			probeAfterMs: this.#pausesOf(replica).limitMs(suspectBounds),
+			connectTimeoutMs: this.#connectTimeoutMs(replica),
+			probeAfterMs: this.#pausesOf(replica).limitMs(probeBounds),
 			noteConnected: ms => {
 				this.#connectTimesOf(replica).observe(ms);
 			},
 			noteBytes: () => {
 				const now = this.#parts.clock.now();
-				if (heardAt !== undefined) {
-					this.#pausesOf(replica).observe(now - heardAt);
+				if (lastBytesAt !== undefined) {
+					this.#pausesOf(replica).observe(now - lastBytesAt);
 				}
 
-				heardAt = now;
+				lastBytesAt = now;
 				replica.heardAt = now;
 			},
 			isReachable: async () => this.#isReachable(replica),
@@ -92,8 +92,8 @@
 	/** Records that no connection to the replica could be established: it gets no requests until one can. */
 	noteUnreachable(replica: Replica): void {
 		replica.noteUnreachable();
-		if (!this.#tries.has(replica)) {
-			this.#tryAfter(replica, firstTryMs);
+		if (!this.#retries.has(replica)) {
+			this.#scheduleRetry(replica, firstRetryMs);
 		}
 	}
 
@@ -101,45 +101,45 @@
 	Whether a replica whose connection broke has ended: a terminated process accepts no new connection, one that only lost a connection does. Requests that break together share one check.
 	*/
 	async hasEnded(replica: Replica): Promise<boolean> {
-		const underWay = this.#endings.get(replica) ?? this.#askWhetherEnded(replica);
-		this.#endings.set(replica, underWay);
-		return underWay;
+		const ongoing = this.#endChecks.get(replica) ?? this.#checkEnded(replica);
+		this.#endChecks.set(replica, ongoing);
+		return ongoing;
 	}
 
 	dispose(): void {
-		[...this.#tries.keys()].forEach(replica => {
-			this.#forget(replica);
+		[...this.#retries.keys()].forEach(replica => {
+			this.#cancelRetry(replica);
 		});
 	}
 
-	#connectMs(replica: Replica): number {
+	#connectTimeoutMs(replica: Replica): number {
 		return this.#connectTimesOf(replica).limitMs(connectBounds);
 	}
 
 	/** Connect times are about the same for all replicas of a failure domain. */
 	#connectTimesOf({record: {failureDomain}}: Replica): ExpectedTime {
-		return known(this.#connectTimes, failureDomain);
+		return estimateOf(this.#connectTimes, failureDomain);
 	}
 
 	#pausesOf({record: {service}}: Replica): ExpectedTime {
-		return known(this.#pauses, service);
+		return estimateOf(this.#pauses, service);
 	}
 
 	async #isReachable(replica: Replica): Promise<boolean> {
 		const now = this.#parts.clock.now();
-		const isHeard = now - replica.heardAt < this.#pausesOf(replica).limitMs(suspectBounds) / 2;
-		if (isHeard || now - replica.probeSucceededAt < trustMs) {
+		const hasRecentBytes = now - replica.heardAt < this.#pausesOf(replica).limitMs(probeBounds) / 2;
+		if (hasRecentBytes || now - replica.probeSucceededAt < recheckAfterMs) {
 			return true;
 		}
 
-		const underWay = this.#checks.get(replica) ?? this.#check(replica);
-		this.#checks.set(replica, underWay);
-		return underWay;
+		const ongoing = this.#checks.get(replica) ?? this.#check(replica);
+		this.#checks.set(replica, ongoing);
+		return ongoing;
 	}
 
 	async #check(replica: Replica): Promise<boolean> {
 		const {clock, log, dial} = this.#parts;
-		const limitMs = this.#connectMs(replica);
+		const limitMs = this.#connectTimeoutMs(replica);
 		const silentMs = clock.now() - replica.heardAt;
 		const isReachable = await dial(replica.record.address, limitMs);
 		this.#checks.delete(replica);
@@ -155,44 +155,44 @@
 		return isReachable;
 	}
 
-	async #askWhetherEnded(replica: Replica): Promise<boolean> {
-		const isReachable = await this.#parts.dial(replica.record.address, this.#connectMs(replica));
-		this.#endings.delete(replica);
+	async #checkEnded(replica: Replica): Promise<boolean> {
+		const isReachable = await this.#parts.dial(replica.record.address, this.#connectTimeoutMs(replica));
+		this.#endChecks.delete(replica);
 		return !isReachable;
 	}
 
-	#tryAfter(replica: Replica, ms: number) {
-		this.#tries.set(replica, setTimeout(() => {
-			void this.#try(replica, ms);
+	#scheduleRetry(replica: Replica, ms: number) {
+		this.#retries.set(replica, setTimeout(() => {
+			void this.#retry(replica, ms);
 		}, ms));
 	}
 
-	async #try(replica: Replica, afterMs: number) {
+	async #retry(replica: Replica, afterMs: number) {
 		const {clock, log, dial} = this.#parts;
 		const startedAt = clock.now();
 		const isReached = await dial(replica.record.address, connectBounds.ceilingMs);
-		if (!this.#tries.has(replica)) {
+		if (!this.#retries.has(replica)) {
 			return;
 		}
 
 		if (!isReached) {
-			this.#tryAfter(replica, Math.min(mostTryMs, 2 * afterMs));
+			this.#scheduleRetry(replica, Math.min(maxRetryMs, 2 * afterMs));
 			return;
 		}
 
-		this.#tries.delete(replica);
+		this.#retries.delete(replica);
 		this.#connectTimesOf(replica).observe(clock.now() - startedAt);
 		replica.noteAnswer();
 		log.emit(gatewayEvents.replicaReachable, {replica: replica.record.id});
 	}
 
-	#forget(replica: Replica) {
-		clearTimeout(this.#tries.get(replica));
-		this.#tries.delete(replica);
+	#cancelRetry(replica: Replica) {
+		clearTimeout(this.#retries.get(replica));
+		this.#retries.delete(replica);
 	}
 }
 
-const known = <K>(times: Map<K, ExpectedTime>, key: K): ExpectedTime => {
+const estimateOf = <K>(times: Map<K, ExpectedTime>, key: K): ExpectedTime => {
 	const time = times.get(key) ?? new ExpectedTime();
 	times.set(key, time);
 	return time;
--- a/src/gateway/peers/member-registrar.ts
+++ b/src/gateway/peers/member-registrar.ts
@@ -44,13 +44,13 @@
 		const {self, api} = this.#parts;
 		const created = await api.create('Member', self, record);
 		return created.caseOf<boolean | Promise<boolean>>({
-			Left: async err => this.#correct(err, record),
+			Left: async err => this.#updateExisting(err, record),
 			Right: () => true,
 		});
 	}
 
 	/** Handles a failed creation: after a conflict, the record of an earlier start exists, perhaps with another address, and is updated. */
-	async #correct(err: ApiError, record: MemberRecord): Promise<boolean> {
+	async #updateExisting(err: ApiError, record: MemberRecord): Promise<boolean> {
 		const {self, api, log} = this.#parts;
 		if (err.kind !== 'conflict') {
 			log.emit(gatewayEvents.memberWriteFailed, {member: self, reason: err.kind});
--- a/src/gateway/peers/member-registry.ts
+++ b/src/gateway/peers/member-registry.ts
@@ -23,11 +23,11 @@
 /** See the module's head. */
 export class MemberRegistry {
 	readonly #members = new Map<string, MemberRecord>();
-	#knownAt: number | undefined;
+	#firstLoadedAt: number | undefined;
 
 	constructor(feed: ObjectFeed, clock: Pick<Clock, 'now'>) {
 		feed.onSnapshot(items => {
-			this.#knownAt ??= clock.now();
+			this.#firstLoadedAt ??= clock.now();
 			this.#members.clear();
 			items.forEach(({name, value}) => {
 				this.#put(name, value);
@@ -46,7 +46,7 @@
 
 	/** When the members were first loaded, in milliseconds on the monotonic clock; `undefined` before. */
 	get firstLoadedAt(): number | undefined {
-		return this.#knownAt;
+		return this.#firstLoadedAt;
 	}
 
 	/** Addresses of all registered fronts, this one's included. */
--- a/src/gateway/peers/object-relay.ts
+++ b/src/gateway/peers/object-relay.ts
@@ -70,16 +70,16 @@
 };
 
 /** Timeout of a relayed call, in milliseconds, in addition to the time for which the call itself waits: the peer answers only after its own call of the object API. */
-const helperTimeoutMs = 1000;
+const relayTimeoutMs = 1000;
 
 /** Interval, in milliseconds, at which the object API itself is tried while calls are relayed through peers. Each attempt counts as a call of the object API, so a shorter interval has its cost. */
-const probeMs = 500;
+const probeIntervalMs = 500;
 
-const changes = new Set<ObjectCall['operation']>(['create', 'update', 'remove']);
+const changeOperations = new Set<ObjectCall['operation']>(['create', 'update', 'remove']);
 
-const isAway = ({kind}: ApiError): boolean => kind === 'unavailable' || kind === 'unknown';
+const isUnavailable = ({kind}: ApiError): boolean => kind === 'unavailable' || kind === 'unknown';
 
-const errorOfFailure = ({operation}: ObjectCall, failure: RpcFailure): ApiError => changes.has(operation) && failure.kind !== 'notSent'
+const errorOfFailure = ({operation}: ObjectCall, failure: RpcFailure): ApiError => changeOperations.has(operation) && failure.kind !== 'notSent'
 	? {kind: 'unknown', reason: `peer: ${failure.reason}`}
 	: {kind: 'unavailable', reason: `peer: ${failure.reason}`};
 
@@ -97,7 +97,7 @@
 	#lastFailedCallAt: number | undefined;
 	#isDirect = true;
 	#probe: NodeJS.Timeout | undefined;
-	#failedAt = -Infinity;
+	#lastAttemptAt = -Infinity;
 	#isDisposed = false;
 
 	constructor(parts: ObjectRelayParts) {
@@ -171,28 +171,28 @@
 
 	async #send<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
 		if (!this.#isDirect) {
-			return this.#ask<T>(call);
+			return this.#relay<T>(call);
 		}
 
 		const outcome = await this.#perform(call);
 		const err = errorOf(outcome);
-		if (!err || !isAway(err)) {
+		if (!err || !isUnavailable(err)) {
 			return outcome as Either<ApiError, T>;
 		}
 
 		this.#noteFailure(call, err);
 		// A change that may have taken effect is not retried here: only its caller knows whether a repetition is harmless.
-		return err.kind === 'unknown' || this.#isDirect ? Left(err) : this.#ask<T>(call);
+		return err.kind === 'unknown' || this.#isDirect ? Left(err) : this.#relay<T>(call);
 	}
 
 	/** Without a peer to relay through, calls the object API itself, but no more often than the probes do. In an outage each feed of each process would otherwise call it several times a second to no effect. */
-	async #askDirectly<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
+	async #callDirectly<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
 		const {clock} = this.#parts;
-		if (clock.now() - this.#failedAt < probeMs) {
+		if (clock.now() - this.#lastAttemptAt < probeIntervalMs) {
 			return Left({kind: 'unavailable', reason: 'neither the object API nor a peer that reaches it answers'});
 		}
 
-		this.#failedAt = clock.now();
+		this.#lastAttemptAt = clock.now();
 		const outcome = await this.#perform(call);
 		return outcome as Either<ApiError, T>;
 	}
@@ -203,7 +203,7 @@
 		const askedAt = clock.now();
 		const outcome = await perform(direct, call);
 		const err = errorOf(outcome);
-		if (err && isAway(err) && call.operation !== 'watch') {
+		if (err && isUnavailable(err) && call.operation !== 'watch') {
 			this.#failedCallAt = Math.max(askedAt, this.#failedCallAt ?? askedAt);
 			this.#lastFailedCallAt = Math.max(askedAt, this.#lastFailedCallAt ?? askedAt);
 		}
@@ -211,15 +211,15 @@
 		return outcome;
 	}
 
-	async #ask<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
-		const {peerAddresses: helpers, random, rpc} = this.#parts;
-		const addresses = helpers();
+	async #relay<T>(call: ObjectCall): Promise<Either<ApiError, T>> {
+		const {peerAddresses, random, rpc} = this.#parts;
+		const addresses = peerAddresses();
 		const address = addresses[Math.floor(random.next() * addresses.length)];
 		if (address === undefined) {
-			return this.#askDirectly(call);
+			return this.#callDirectly(call);
 		}
 
-		const timeoutMs = helperTimeoutMs + ('waitMs' in call ? call.waitMs : 0);
+		const timeoutMs = relayTimeoutMs + ('waitMs' in call ? call.waitMs : 0);
 		const answered = await rpc.call<ObjectCallAnswer>({address, timeoutMs}, objectCallMethod, call);
 		return answered.caseOf<Either<ApiError, T>>({
 			Left: failure => Left(errorOfFailure(call, failure)),
@@ -238,19 +238,19 @@
 			return;
 		}
 
-		this.#leave(err);
+		this.#switchToPeers(err);
 	}
 
 	/** @param askedAt - When the failed call began. The next attempt is timed from there, so that the end of an outage is detected as soon after a call without an answer as after a rejected one. */
-	#leave(err: ApiError, askedAt = this.#parts.clock.now()) {
+	#switchToPeers(err: ApiError, askedAt = this.#parts.clock.now()) {
 		const {clock} = this.#parts;
-		this.#failedAt = clock.now();
+		this.#lastAttemptAt = clock.now();
 		if (this.#isDirect) {
 			this.#isDirect = false;
 			this.#parts.log.emit(gatewayEvents.objectApiRelayed, {reason: 'reason' in err ? err.reason : err.kind, peers: this.#parts.peerAddresses().length});
 		}
 
-		this.#probeAfter(Math.max(0, askedAt + probeMs - clock.now()), err);
+		this.#probeAfter(Math.max(0, askedAt + probeIntervalMs - clock.now()), err);
 	}
 
 	#probeAfter(ms: number, cause: ApiError) {
@@ -260,16 +260,16 @@
 		}
 
 		this.#probe = setTimeout(() => {
-			void this.#tryDirect(cause);
+			void this.#probeDirectly(cause);
 		}, ms);
 	}
 
-	async #tryDirect(cause: ApiError) {
+	async #probeDirectly(cause: ApiError) {
 		const askedAt = this.#parts.clock.now();
 		const outcome = await this.#perform({operation: 'list', kind: 'Member'});
 		this.#probe = undefined;
 		if (outcome.isLeft()) {
-			this.#leave(cause, askedAt);
+			this.#switchToPeers(cause, askedAt);
 			return;
 		}
 
--- a/src/gateway/peers/peer-announcer.ts
+++ b/src/gateway/peers/peer-announcer.ts
@@ -18,34 +18,34 @@
 import type {FeedCheck} from './shared-checks.js';
 
 /** Minimum time, in milliseconds, for which changes are gathered before they are announced. It is short compared to the almost one second for which an online call occupies its slot, and limits a process to 25 messages a second to each peer. */
-const leastGatherMs = 40;
+const minDelayMs = 40;
 
 /** Gathering time for each peer, in milliseconds, which limits a process to 500 messages a second however many peers it has. With later announcements, the calls of a burst would be sent to replicas that are already full. */
-const gatherMsForEachPeer = 2;
+const delayPerPeerMs = 2;
 
 /** An online call that finds no free slot at a replica with items is announced within this time, in milliseconds, so that the process that runs the items preempts one. */
-const urgentMs = 5;
+const urgentDelayMs = 5;
 
 /**
 @param peers - Number of live peers.
 @returns Milliseconds until a change is announced.
 */
-export const announcementDelayMs = (peers: number): number => Math.max(leastGatherMs, gatherMsForEachPeer * peers);
+export const announcementDelayMs = (peers: number): number => Math.max(minDelayMs, delayPerPeerMs * peers);
 
 /** Interval between announcements without a change, in milliseconds. */
 const heartbeatMs = 250;
 
 /** Crashes are announced at once and repeated at this interval, in milliseconds: a request that crashes replicas arrives at another process within a tenth of a second, and single messages are lost. */
-const crashesEveryMs = 250;
+const crashesIntervalMs = 250;
 
 /** Failed runs of items are announced soon and repeated at this interval, in milliseconds; an item's next run starts 200 ms after the failed one. */
-const failedRunsEveryMs = 250;
+const failedRunsIntervalMs = 250;
 
 /** Interval at which the usage of rate-limited accounts is announced, in milliseconds: near a limit, calls that have not been announced yet are admitted twice. */
-const accountUsageEveryMs = 100;
+const accountUsageIntervalMs = 100;
 
 /** Interval at which outcomes are announced, in milliseconds, and only for replicas where a request failed: they decay over seconds, and in each message they would double its size while half of the replicas fail occasionally. */
-const outcomesEveryMs = 250;
+const outcomesIntervalMs = 250;
 
 /** Rounds to hundredths to keep messages short; smaller differences affect no decision. */
 const rounded = ({requests, failures}: OutcomeCounts): OutcomeCounts => ({requests: Math.round(100 * requests) / 100, failures: Math.round(100 * failures) / 100});
@@ -78,10 +78,10 @@
 	readonly #startedAt: number;
 	#seq = 0;
 	#pendingAt = 0;
-	#outcomesToldAt = -Infinity;
-	#crashesToldAt = -Infinity;
-	#failedRunsToldAt = -Infinity;
-	#accountUsageToldAt = -Infinity;
+	#outcomesAnnouncedAt = -Infinity;
+	#crashesAnnouncedAt = -Infinity;
+	#failedRunsAnnouncedAt = -Infinity;
+	#accountUsageAnnouncedAt = -Infinity;
 	#pending: NodeJS.Timeout | undefined;
 	#heartbeat: NodeJS.Timeout | undefined;
 	#isDisposed = false;
@@ -90,15 +90,15 @@
 		this.#parts = parts;
 		this.#startedAt = parts.clock.wall();
 		parts.loads.onLocalChange(({total, allBatch, batch, record}) => {
-			const peersMustCut = total > record.slots && allBatch > batch;
-			this.#announceWithin(peersMustCut ? urgentMs : announcementDelayMs(parts.peers.live.length));
+			const peersMustPreempt = total > record.slots && allBatch > batch;
+			this.#announceWithin(peersMustPreempt ? urgentDelayMs : announcementDelayMs(parts.peers.live.length));
 		});
 		parts.quarantine.onAnnouncementDue(() => {
-			this.#crashesToldAt = -Infinity;
-			this.#announceWithin(urgentMs);
+			this.#crashesAnnouncedAt = -Infinity;
+			this.#announceWithin(urgentDelayMs);
 		});
 		parts.failedRuns.onAnnouncementDue(() => {
-			this.#failedRunsToldAt = -Infinity;
+			this.#failedRunsAnnouncedAt = -Infinity;
 			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 		parts.peers.onMembership(() => {
@@ -118,7 +118,7 @@
 
 	/** Sends an announcement within the minimum gathering time. */
 	announceSoon(): void {
-		this.#announceWithin(leastGatherMs);
+		this.#announceWithin(minDelayMs);
 	}
 
 	dispose(): void {
@@ -169,42 +169,42 @@
 
 	#crashesDue(): Partial<CrashAnnouncement> {
 		const {quarantine, clock} = this.#parts;
-		if (!quarantine.hasSuspects || clock.now() - this.#crashesToldAt < crashesEveryMs) {
+		if (!quarantine.hasSuspects || clock.now() - this.#crashesAnnouncedAt < crashesIntervalMs) {
 			return {};
 		}
 
-		this.#crashesToldAt = clock.now();
+		this.#crashesAnnouncedAt = clock.now();
 		return quarantine.announcement();
 	}
 
 	#failedRunsDue(): readonly FailedRun[] | undefined {
 		const {failedRuns, clock} = this.#parts;
-		if (clock.now() - this.#failedRunsToldAt < failedRunsEveryMs) {
+		if (clock.now() - this.#failedRunsAnnouncedAt < failedRunsIntervalMs) {
 			return undefined;
 		}
 
-		this.#failedRunsToldAt = clock.now();
+		this.#failedRunsAnnouncedAt = clock.now();
 		return failedRuns.announcement();
 	}
 
 	#accountUsageDue(): readonly AccountUsage[] | undefined {
 		const {rateLimits, clock} = this.#parts;
-		if (clock.now() - this.#accountUsageToldAt < accountUsageEveryMs) {
+		if (clock.now() - this.#accountUsageAnnouncedAt < accountUsageIntervalMs) {
 			return undefined;
 		}
 
-		this.#accountUsageToldAt = clock.now();
-		const news = rateLimits.announcement();
-		return news.length === 0 ? undefined : news;
+		this.#accountUsageAnnouncedAt = clock.now();
+		const usage = rateLimits.announcement();
+		return usage.length === 0 ? undefined : usage;
 	}
 
 	#outcomesDue(): SharedOutcomes[] | undefined {
 		const now = this.#parts.clock.now();
-		if (now - this.#outcomesToldAt < outcomesEveryMs) {
+		if (now - this.#outcomesAnnouncedAt < outcomesIntervalMs) {
 			return undefined;
 		}
 
-		this.#outcomesToldAt = now;
+		this.#outcomesAnnouncedAt = now;
 		return [...this.#parts.directory.all]
 			.filter(({outcomes}) => outcomes.failureShare(now) > 0)
 			.map(({record, outcomes}) => ({replica: record.id, startedAt: record.startedAt, ...rounded(outcomes.ownCounts(now))}));
--- a/src/gateway/peers/peer-table.ts
+++ b/src/gateway/peers/peer-table.ts
@@ -11,15 +11,15 @@
 import type {PeerState, SharedLoad} from './peer-state.js';
 
 /** A peer sends at least every 250 ms. After this many milliseconds without a message, either four messages in a row were lost or the peer has terminated. */
-const silenceMs = 1200;
+const unresponsiveAfterMs = 1200;
 
 /** Unresponsive peers are looked for at least every 250 ms. If two checks are further apart than this, in milliseconds, this process itself was paused. */
-const standstillMs = 600;
+const pauseThresholdMs = 600;
 
 /** A live peer. */
 export type Peer = {
 	readonly state: PeerState;
-	readonly heardAt: number;
+	readonly lastSeenAt: number;
 	readonly jobs: ReadonlySet<BatchJobId>;
 };
 
@@ -38,13 +38,13 @@
 	readonly #parts: PeerTableParts;
 	readonly #events = new EventEmitter();
 	readonly #peers = new Map<MemberName, Peer>();
-	#lookedAt: number;
+	#checkedAt: number;
 	/** When this process last resumed after a pause. */
-	#wokeAt = -Infinity;
+	#resumedAt = -Infinity;
 
 	constructor(parts: PeerTableParts) {
 		this.#parts = parts;
-		this.#lookedAt = parts.clock.now();
+		this.#checkedAt = parts.clock.now();
 	}
 
 	/** Live peers. */
@@ -79,21 +79,21 @@
 			return;
 		}
 
-		const known = this.#peers.get(state.member);
-		if (known && !isNewer(state, known.state)) {
+		const previous = this.#peers.get(state.member);
+		if (previous && !isNewer(state, previous.state)) {
 			return;
 		}
 
-		this.#peers.set(state.member, {state, heardAt: clock.now(), jobs: new Set(state.jobs)});
-		this.#takeLoads(state, known?.state);
-		this.#takeOutcomes(state);
-		this.#takeCrashes(state);
+		this.#peers.set(state.member, {state, lastSeenAt: clock.now(), jobs: new Set(state.jobs)});
+		this.#applyLoads(state, previous?.state);
+		this.#applyOutcomes(state);
+		this.#applyCrashes(state);
 		this.#events.emit('state', state);
-		if (!known) {
+		if (!previous) {
 			log.emit(gatewayEvents.peerJoined, {peer: state.member, address: state.address});
 		}
 
-		if (known?.state.isLeaving !== state.isLeaving || known.state.startedAt !== state.startedAt) {
+		if (previous?.state.isLeaving !== state.isLeaving || previous.state.startedAt !== state.startedAt) {
 			this.#events.emit('membership');
 		}
 	}
@@ -102,28 +102,28 @@
 	removeUnresponsive(): void {
 		const {clock, log} = this.#parts;
 		const now = clock.now();
-		this.#noteStandstill(now);
-		const silent = [...this.#peers.values()].filter(({heardAt}) => now - Math.max(heardAt, this.#wokeAt) > silenceMs);
-		silent.forEach(({state, heardAt}) => {
-			log.emit(gatewayEvents.peerUnresponsive, {peer: state.member, silentMs: Math.round(now - heardAt)});
+		this.#detectPause(now);
+		const unresponsive = [...this.#peers.values()].filter(({lastSeenAt}) => now - Math.max(lastSeenAt, this.#resumedAt) > unresponsiveAfterMs);
+		unresponsive.forEach(({state, lastSeenAt}) => {
+			log.emit(gatewayEvents.peerUnresponsive, {peer: state.member, silentMs: Math.round(now - lastSeenAt)});
 			this.#peers.delete(state.member);
-			this.#takeLoads({...state, loads: []}, state);
+			this.#applyLoads({...state, loads: []}, state);
 		});
-		if (silent.length > 0) {
+		if (unresponsive.length > 0) {
 			this.#events.emit('membership');
 		}
 	}
 
 	/** Timers fire before messages are read: right after a pause, the messages that peers have sent meanwhile are still unread, and all peers would be considered terminated. Their jobs would be claimed and run twice. */
-	#noteStandstill(now: number) {
-		if (now - this.#lookedAt > standstillMs) {
-			this.#wokeAt = now;
+	#detectPause(now: number) {
+		if (now - this.#checkedAt > pauseThresholdMs) {
+			this.#resumedAt = now;
 		}
 
-		this.#lookedAt = now;
+		this.#checkedAt = now;
 	}
 
-	#takeOutcomes({member, outcomes = []}: PeerState) {
+	#applyOutcomes({member, outcomes = []}: PeerState) {
 		const {directory, clock} = this.#parts;
 		outcomes.forEach(({replica: id, startedAt, ...counts}) => {
 			const replica = directory.get(id);
@@ -133,24 +133,24 @@
 		});
 	}
 
-	#takeCrashes({crashes = [], acquitted = []}: PeerState) {
+	#applyCrashes({crashes = [], acquitted = []}: PeerState) {
 		const {quarantine} = this.#parts;
 		quarantine.receiveCrashes(crashes);
 		quarantine.receiveCleared(acquitted);
 	}
 
-	#takeLoads(after: PeerState, before: PeerState | undefined) {
+	#applyLoads(after: PeerState, before: PeerState | undefined) {
 		const listed = new Set<ReplicaId>(after.loads.map(({replica}) => replica));
 		after.loads.forEach(load => {
-			this.#note(after.member, load);
+			this.#applyLoad(after.member, load);
 		});
 		before?.loads.filter(({replica}) => !listed.has(replica)).forEach(({replica}) => {
-			this.#note(after.member, {replica, online: 0, batch: 0});
+			this.#applyLoad(after.member, {replica, online: 0, batch: 0});
 		});
 	}
 
 	/** Requests at an earlier start of a replica occupy no slot at the current one. */
-	#note(peer: MemberName, {replica: id, startedAt, online, batch}: SharedLoad) {
+	#applyLoad(peer: MemberName, {replica: id, startedAt, online, batch}: SharedLoad) {
 		const replica = this.#parts.directory.get(id);
 		if (!replica) {
 			return;
--- a/src/gateway/peers/shared-checks.steps.ts
+++ b/src/gateway/peers/shared-checks.steps.ts
@@ -20,10 +20,10 @@
 	readonly name: MemberName;
 	readonly feed: ObjectFeed;
 	readonly checks: SharedChecks;
-	readonly heard: EventEmitter;
-	isSilent: boolean;
+	readonly received: EventEmitter;
+	isStalled: boolean;
 	hasEnded: boolean;
-	hasNoticed: boolean;
+	hasDetectedOutage: boolean;
 };
 
 type ChecksWorld = TestWorld & {
@@ -37,75 +37,75 @@
 const watchMs = 20_000;
 
 /** Delay of a message between processes, in milliseconds. */
-const travelMs = 3;
+const messageDelayMs = 3;
 
 /** Interval at which each process announces its state without a poll, in milliseconds. */
-const tellEveryMs = 60;
+const announcementIntervalMs = 60;
 
-const watchThatNeverEnds = once(new EventEmitter(), 'never') as Promise<never>;
+const neverEndingWatch = once(new EventEmitter(), 'never') as Promise<never>;
 
 const clock = new SystemClock();
 const log: EventLog = {emit: () => undefined};
 
 const running = ({processes}: ChecksWorld): Process[] => processes.filter(({hasEnded}) => !hasEnded);
 
-const tell = (world: ChecksWorld, from: Process) => {
+const announceState = (world: ChecksWorld, from: Process) => {
 	const checks = from.checks.announcement();
 	if (from.hasEnded || !checks) {
 		return;
 	}
 
 	setTimeout(() => {
-		running(world).filter(process => process !== from).forEach(({heard}) => {
-			heard.emit('state', {checks});
+		running(world).filter(process => process !== from).forEach(({received}) => {
+			received.emit('state', {checks});
 		});
-	}, travelMs);
+	}, messageDelayMs);
 };
 
 /** The watches of a stalled process never end; its other calls are answered. */
-const apiOf = (world: ChecksWorld, isSilent: () => boolean): FakeObjectApi => new Proxy(world.api, {
+const apiOf = (world: ChecksWorld, isStalled: () => boolean): FakeObjectApi => new Proxy(world.api, {
 	get(api, name: keyof FakeObjectApi) {
 		if (name !== 'watch') {
 			return typeof api[name] === 'function' ? (api[name] as () => unknown).bind(api) : api[name];
 		}
 
-		return async (...[kinds, since, waitMs]: Parameters<FakeObjectApi['watch']>) => isSilent() && waitMs > 0
-			? watchThatNeverEnds
+		return async (...[kinds, since, waitMs]: Parameters<FakeObjectApi['watch']>) => isStalled() && waitMs > 0
+			? neverEndingWatch
 			: api.watch(kinds, since, waitMs);
 	},
 });
 
-const startProcess = (world: ChecksWorld, index: number, everyMs: number): Process => {
+const startProcess = (world: ChecksWorld, index: number, intervalMs: number): Process => {
 	const name = branded<MemberName>(`front-${index}`);
-	const heard = new EventEmitter();
-	const feed = new ObjectFeed({api: apiOf(world, () => process.isSilent), clock, log}, 'GatewayConfig', {waitMs: watchMs, mayLag: false});
+	const received = new EventEmitter();
+	const feed = new ObjectFeed({api: apiOf(world, () => process.isStalled), clock, log}, 'GatewayConfig', {waitMs: watchMs, mayLag: false});
 	const checks = new SharedChecks({
 		self: name,
 		clock,
 		progress: world.register(new ReadProgress(clock)),
-		feeds: [{kind: 'GatewayConfig', feed, intervalMs: everyMs}],
+		feeds: [{kind: 'GatewayConfig', feed, intervalMs}],
 		peers: {
 			get live() {
 				return running(world).filter(other => other.name !== name).map(other => ({state: {member: other.name, reachesObjectApi: true, isLeaving: false}})) as unknown as Peer[];
 			},
 			onState(listener) {
-				heard.on('state', listener);
+				received.on('state', listener);
 			},
 		},
 		announce() {
-			tell(world, process);
+			announceState(world, process);
 		},
 	});
 	const process: Process = {
-		name, feed, checks, heard, isSilent: false, hasEnded: false, hasNoticed: false,
+		name, feed, checks, received, isStalled: false, hasEnded: false, hasDetectedOutage: false,
 	};
-	const telling = setInterval(() => {
-		tell(world, process);
-		process.hasNoticed ||= feed.isUnreachable;
-	}, tellEveryMs);
+	const announcing = setInterval(() => {
+		announceState(world, process);
+		process.hasDetectedOutage ||= feed.isUnreachable;
+	}, announcementIntervalMs);
 	world.register({
 		dispose() {
-			clearInterval(telling);
+			clearInterval(announcing);
 			feed.dispose();
 			checks.dispose();
 		},
@@ -117,20 +117,20 @@
 
 const sleep = async (ms: number) => clock.sleep(ms);
 
-const silence = async (world: ChecksWorld, processes: readonly Process[]) => {
+const stallWatches = async (world: ChecksWorld, processes: readonly Process[]) => {
 	processes.forEach(process => {
-		process.isSilent = true;
+		process.isStalled = true;
 	});
 	// The watches that are open end with a change, and the stalled ones follow.
 	await world.api.create('GatewayConfig', 'before', {});
 	await sleep(150);
 };
 
-Given('{int} processes that check each other\'s state every {int} ms', async function (this: ChecksWorld, count: number, everyMs: number) {
+Given('{int} processes that check each other\'s state every {int} ms', async function (this: ChecksWorld, count: number, intervalMs: number) {
 	this.api = new FakeObjectApi();
 	await this.api.create('GatewayConfig', 'first', {});
 	this.processes = [];
-	this.processes.push(...Array.from({length: count}, (_, i) => startProcess(this, i, everyMs)));
+	this.processes.push(...Array.from({length: count}, (_, i) => startProcess(this, i, intervalMs)));
 	await sleep(100);
 });
 
@@ -146,11 +146,11 @@
 });
 
 Given('the watches of all processes but the last one are stalled', async function (this: ChecksWorld) {
-	await silence(this, this.processes.slice(0, -1));
+	await stallWatches(this, this.processes.slice(0, -1));
 });
 
 Given('the watches of all processes are stalled', async function (this: ChecksWorld) {
-	await silence(this, this.processes);
+	await stallWatches(this, this.processes);
 });
 
 Given('the first process has ended', function (this: ChecksWorld) {
@@ -178,6 +178,6 @@
 
 Then('every process has detected the outage, and its end within {int} ms', async function (this: ChecksWorld, ms: number) {
 	await sleep(ms);
-	assert.deepEqual(running(this).filter(({hasNoticed}) => !hasNoticed).map(({name}) => name), []);
+	assert.deepEqual(running(this).filter(({hasDetectedOutage}) => !hasDetectedOutage).map(({name}) => name), []);
 	assert.deepEqual(running(this).filter(({feed}) => feed.isUnreachable).map(({name}) => name), []);
 });
--- a/src/gateway/peers/shared-checks.ts
+++ b/src/gateway/peers/shared-checks.ts
@@ -39,8 +39,8 @@
 };
 
 /** Each process waits this much longer than the one ranked before it until it polls, in milliseconds, up to the third rank. */
-const standInMs = 60;
-const mostStandIns = 3;
+const rankDelayMs = 60;
+const maxDelayedRank = 3;
 
 /** A process's own watch delivers a change at about the time at which a peer announces it; if it has not after this long, in milliseconds, the change is polled for. */
 const lagTimeoutMs = 150;
@@ -59,23 +59,23 @@
 	constructor(parts: SharedChecksParts) {
 		this.#parts = parts;
 		this.#checks = parts.feeds.map(feed => new FeedCheckLoop(feed, parts, {
-			delayMs: () => standInMs * Math.min(mostStandIns, this.#rank()),
+			delayMs: () => rankDelayMs * Math.min(maxDelayedRank, this.#rank()),
 			announce: parts.announce,
 		}));
 		parts.peers.onState(state => {
-			this.#take(state);
+			this.#receive(state);
 		});
 	}
 
 	/** Confirmations to announce to the peers now. */
 	announcement(): readonly FeedCheck[] | undefined {
-		const news = this.#checks.flatMap(check => check.news());
-		return news.length === 0 ? undefined : news;
+		const confirmations = this.#checks.flatMap(check => check.confirmations());
+		return confirmations.length === 0 ? undefined : confirmations;
 	}
 
 	/** When the local state of the kind was last confirmed to be current, here or by a peer; in milliseconds on the monotonic clock. */
 	lastConfirmedAt(kind: ObjectKind): number {
-		return this.#checks.find(check => check.kind === kind)?.freshAt ?? -Infinity;
+		return this.#checks.find(check => check.kind === kind)?.lastConfirmedAt ?? -Infinity;
 	}
 
 	start(): void {
@@ -90,9 +90,9 @@
 		});
 	}
 
-	#take({checks = []}: PeerState) {
-		checks.forEach(told => {
-			this.#checks.find(({kind}) => kind === told.kind)?.take(told);
+	#receive({checks = []}: PeerState) {
+		checks.forEach(announced => {
+			this.#checks.find(({kind}) => kind === announced.kind)?.receive(announced);
 		});
 	}
 
@@ -111,7 +111,7 @@
 	readonly #progress: Pick<ReadProgress, 'readUntil'>;
 	readonly #options: {readonly delayMs: () => number; readonly announce: () => void};
 	/** When a peer last confirmed that this process lacks no change. */
-	#confirmedAt = -Infinity;
+	#peerConfirmedAt = -Infinity;
 	#behindSince: number | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#isDisposed = false;
@@ -124,31 +124,31 @@
 		this.#options = options;
 	}
 
-	get freshAt(): number {
-		return Math.max(this.#confirmedAt, this.#checked.feed.currentAsOf);
+	get lastConfirmedAt(): number {
+		return Math.max(this.#peerConfirmedAt, this.#checked.feed.currentAsOf);
 	}
 
 	start(): void {
-		this.#wait(this.#checked.intervalMs);
+		this.#schedule(this.#checked.intervalMs);
 	}
 
-	news(): FeedCheck[] {
+	confirmations(): FeedCheck[] {
 		const {feed} = this.#checked;
 		const ageMs = this.#clock.now() - feed.currentAsOf;
 		return feed.changedAt === undefined || ageMs > announcedForMs ? [] : [{kind: this.kind, changedAt: feed.changedAt, ageMs: Math.round(ageMs)}];
 	}
 
-	take({changedAt, ageMs}: FeedCheck): void {
+	receive({changedAt, ageMs}: FeedCheck): void {
 		const now = this.#clock.now();
 		const {revision} = this.#checked.feed;
 		if (revision !== undefined && changedAt <= revision) {
-			this.#confirmedAt = Math.max(this.#confirmedAt, this.#progress.readUntil - ageMs);
+			this.#peerConfirmedAt = Math.max(this.#peerConfirmedAt, this.#progress.readUntil - ageMs);
 			return;
 		}
 
 		if (this.#behindSince === undefined) {
 			this.#behindSince = now;
-			this.#wait(lagTimeoutMs);
+			this.#schedule(lagTimeoutMs);
 		}
 	}
 
@@ -157,40 +157,40 @@
 		clearTimeout(this.#timer);
 	}
 
-	#wait(ms: number) {
+	#schedule(ms: number) {
 		clearTimeout(this.#timer);
 		if (!this.#isDisposed) {
 			this.#timer = setTimeout(() => {
-				void this.#look();
+				void this.#pollIfDue();
 			}, ms);
 		}
 	}
 
-	async #look() {
+	async #pollIfDue() {
 		const dueInMs = this.#dueAt() - this.#clock.now();
 		if (dueInMs > 0) {
-			this.#wait(dueInMs);
+			this.#schedule(dueInMs);
 			return;
 		}
 
-		const {feed, intervalMs: everyMs} = this.#checked;
+		const {feed, intervalMs} = this.#checked;
 		this.#behindSince = undefined;
 		const isKnown = await feed.sync();
 		if (isKnown) {
 			this.#options.announce();
 		}
 
-		this.#wait(isKnown ? everyMs : retryMs);
+		this.#schedule(isKnown ? intervalMs : retryMs);
 	}
 
 	#dueAt(): number {
-		const {feed, intervalMs: everyMs} = this.#checked;
+		const {feed, intervalMs} = this.#checked;
 		const behindDueAt = this.#behindSince === undefined ? Infinity : this.#behindSince + lagTimeoutMs;
 		if (!feed.isWatching) {
 			// The feed is about to make its own next call.
 			return this.#clock.now() + retryMs;
 		}
 
-		return feed.isUnreachable ? -Infinity : Math.min(behindDueAt, this.freshAt + everyMs + this.#options.delayMs());
+		return feed.isUnreachable ? -Infinity : Math.min(behindDueAt, this.lastConfirmedAt + intervalMs + this.#options.delayMs());
 	}
 }
--- a/src/gateway/quarantine/crash-history.ts
+++ b/src/gateway/quarantine/crash-history.ts
@@ -40,7 +40,7 @@
 		ended.set(start, at);
 		this.#crashes.delete(content);
 		this.#crashes.set(content, ended);
-		this.#forgetOldest();
+		this.#deleteOldest();
 		return true;
 	}
 
@@ -74,7 +74,7 @@
 		return Math.max(...this.#crashes.get(content)?.values() ?? [-Infinity]);
 	}
 
-	#forgetOldest() {
+	#deleteOldest() {
 		const [oldest] = this.#crashes.keys();
 		if (this.#crashes.size > maxContents && oldest !== undefined) {
 			this.delete(oldest);
--- a/src/gateway/quarantine/quarantine-records.steps.ts
+++ b/src/gateway/quarantine/quarantine-records.steps.ts
@@ -33,10 +33,10 @@
 const content = 'c0ffee' as ContentDigest;
 
 /** Longer than the pause between two attempts, in milliseconds. */
-const twoTriesMs = 1300;
+const twoAttemptsMs = 1300;
 
 /** Within this time, in milliseconds, a feed receives a change. */
-const newsMs = 200;
+const feedDelayMs = 200;
 
 const replicaOf = (number: number): ReplicaRecord => ({
 	id: branded<ReplicaId>(`r${number}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots: 8, isDraining: false,
@@ -44,7 +44,7 @@
 
 const processOf = ({processes}: RecordsWorld, name: string): Process => processes.get(name)!;
 
-const endReplicas = ({quarantine}: Process, count: number) => {
+const crashReplicas = ({quarantine}: Process, count: number) => {
 	Array.from({length: count}).forEach((_, i) => {
 		quarantine.noteCrash(content, replicaOf(i));
 	});
@@ -54,7 +54,7 @@
 
 const recordsIn = ({api}: RecordsWorld) => api.all('Quarantine').filter(({name}) => name === content);
 
-const hear = (peers: PeerTable, member: string) => {
+const receiveState = (peers: PeerTable, member: string) => {
 	peers.receive({
 		member: branded<MemberName>(member), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [],
 	});
@@ -69,8 +69,8 @@
 		self, directory: new ReplicaDirectory(), loads: new LoadBoard(), quarantine, clock, log,
 	});
 	world.processes.forEach((other, otherName) => {
-		hear(other.peers, name);
-		hear(peers, otherName);
+		receiveState(other.peers, name);
+		receiveState(peers, otherName);
 	});
 	const feed = world.register(new ObjectFeed({api: world.api, clock, log}, 'Quarantine', {waitMs: 50, mayLag: true}));
 	const records = world.register(new QuarantineRecords({
@@ -90,11 +90,11 @@
 });
 
 When('{int} replicas crash during a request of {string}', function (this: RecordsWorld, count: number, name: string) {
-	endReplicas(processOf(this, name), count);
+	crashReplicas(processOf(this, name), count);
 });
 
 When('{int} replicas crash during a request of {string}, and {string} receives the announcement', function (this: RecordsWorld, count: number, name: string, other: string) {
-	endReplicas(processOf(this, name), count);
+	crashReplicas(processOf(this, name), count);
 	processOf(this, other).quarantine.receiveCrashes(processOf(this, name).quarantine.announcement().crashes);
 });
 
@@ -103,7 +103,7 @@
 });
 
 When('the object API is available again after two attempts', async function (this: RecordsWorld) {
-	await pause(twoTriesMs);
+	await pause(twoAttemptsMs);
 	assert.equal(recordsIn(this).length <= 1, true);
 	this.api.down = false;
 });
@@ -119,7 +119,7 @@
 
 When('a record is written that lists no replicas', async function (this: RecordsWorld) {
 	await this.api.create('Quarantine', content, {starts: 'all'});
-	await pause(newsMs);
+	await pause(feedDelayMs);
 });
 
 Then('one record of the request is written', async function (this: RecordsWorld) {
@@ -127,7 +127,7 @@
 });
 
 Then('the object API got {int} call(s) to create it', async function (this: RecordsWorld, count: number) {
-	await pause(twoTriesMs);
+	await pause(twoAttemptsMs);
 	assert.equal(this.api.calls.create, count);
 });
 
--- a/src/gateway/quarantine/quarantine-records.ts
+++ b/src/gateway/quarantine/quarantine-records.ts
@@ -41,12 +41,12 @@
 };
 
 /** Interval at which outstanding writes and removals are retried, in milliseconds: the object API may be unavailable most of the time, and all processes may be killed soon. */
-const lookMs = 200;
+const retryIntervalMs = 200;
 
 /** The first process of the ranking writes a record at once; after this long, in milliseconds, any process does, since the first may be partitioned from the object API. */
-const turnMs = 2000;
+const takeoverMs = 2000;
 
-type KnownRecord = {readonly version: Revision; readonly crashes: number};
+type StoredRecord = {readonly version: Revision; readonly crashes: number};
 
 /** Whether a value is a {@link QuarantineRecord}. */
 export const isQuarantineRecord = objectOf({starts: listOf(isNonEmptyString), lastCrashAt: isNonNegativeNumber});
@@ -54,7 +54,7 @@
 /** See the module's head. */
 export class QuarantineRecords implements Disposable {
 	readonly #parts: QuarantineRecordsParts;
-	readonly #records = new Map<ContentDigest, KnownRecord>();
+	readonly #records = new Map<ContentDigest, StoredRecord>();
 	/** Requests that were released and whose records are still to be removed. */
 	readonly #releases = new Set<ContentDigest>();
 	readonly #heldSince = new Map<ContentDigest, number>();
@@ -70,20 +70,20 @@
 				this.#noteRemoved(content);
 			});
 			items.forEach(item => {
-				this.#take(item);
+				this.#apply(item);
 			});
 		});
 		feed.onChanges(events => {
 			events.forEach(({type, name, value, version}) => {
 				if (type === 'put') {
-					this.#take({name, value, version});
+					this.#apply({name, value, version});
 				} else {
 					this.#noteRemoved(name as ContentDigest);
 				}
 			});
 		});
 		quarantine.onHeld(() => {
-			void this.#bringInLine();
+			void this.#reconcile();
 		});
 		quarantine.onCleared(content => {
 			if (this.#records.delete(content)) {
@@ -95,15 +95,15 @@
 	start(): void {
 		this.#timer = setInterval(() => {
 			this.#parts.quarantine.deleteExpired();
-			void this.#bringInLine();
-		}, lookMs);
+			void this.#reconcile();
+		}, retryIntervalMs);
 	}
 
 	dispose(): void {
 		clearInterval(this.#timer);
 	}
 
-	#take({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
+	#apply({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
 		if (!isQuarantineRecord(value)) {
 			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record is invalid'});
 			return;
@@ -127,7 +127,7 @@
 	}
 
 	/** Writes the missing records of requests that are held back, and removes those of released requests. */
-	async #bringInLine(): Promise<void> {
+	async #reconcile(): Promise<void> {
 		if (this.#isBusy) {
 			return;
 		}
@@ -154,7 +154,7 @@
 		return missing.filter(content => {
 			const since = this.#heldSince.get(content) ?? now;
 			this.#heldSince.set(content, since);
-			return this.#isOwn(content) || now - since >= turnMs;
+			return this.#isOwn(content) || now - since >= takeoverMs;
 		});
 	}
 
@@ -167,8 +167,8 @@
 		const {quarantine, api, clock} = this.#parts;
 		const {starts, agoMs} = quarantine.crashesOf(content);
 		const record = {starts, lastCrashAt: Math.round(clock.wall() - agoMs)};
-		const known = this.#records.get(content);
-		const written = known ? await api.update('Quarantine', content, record, known.version) : await api.create('Quarantine', content, record);
+		const stored = this.#records.get(content);
+		const written = stored ? await api.update('Quarantine', content, record, stored.version) : await api.create('Quarantine', content, record);
 		written.ifRight(({version}) => {
 			this.#records.set(content, {version, crashes: starts.length});
 		}).ifLeft(err => {
@@ -179,7 +179,7 @@
 	#onNotWritten(content: ContentDigest, err: ApiError) {
 		if (err.kind === 'conflict' && err.current) {
 			// Another process has written the record first.
-			this.#take(err.current);
+			this.#apply(err.current);
 			return;
 		}
 
--- a/src/gateway/quarantine/quarantine.steps.ts
+++ b/src/gateway/quarantine/quarantine.steps.ts
@@ -18,7 +18,7 @@
 	now: number;
 	quarantine: Quarantine;
 	/** When an announcement was last due at once. */
-	toldAt: number;
+	announcementDueAt: number;
 	/** Replicas that have ended so far. */
 	ended: number;
 	poison: number;
@@ -44,7 +44,7 @@
 
 const meanOf = (outcomes: readonly PoisonOutcome[], value: (outcome: PoisonOutcome) => number): number => outcomes.reduce((sum, outcome) => sum + value(outcome), 0) / outcomes.length;
 
-const endAnother = (world: QuarantineWorld) => {
+const crashAnother = (world: QuarantineWorld) => {
 	world.ended += 1;
 	world.quarantine.noteCrash(content, replicaOf(world.ended));
 };
@@ -55,15 +55,15 @@
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	this.quarantine = new Quarantine({clock, log});
 	this.quarantine.onAnnouncementDue(() => {
-		this.toldAt = this.now;
+		this.announcementDueAt = this.now;
 	});
 	Array.from({length: count}).forEach(() => {
-		endAnother(this);
+		crashAnother(this);
 	});
 });
 
 When('another replica crashes during it', function (this: QuarantineWorld) {
-	endAnother(this);
+	crashAnother(this);
 });
 
 When('another start of one of these replicas crashes during it', function (this: QuarantineWorld) {
@@ -109,7 +109,7 @@
 });
 
 Then('peers are sent {int} crashes at once', function (this: QuarantineWorld, count: number) {
-	assert.equal(this.toldAt, this.now);
+	assert.equal(this.announcementDueAt, this.now);
 	assert.equal(this.quarantine.announcement().crashes.length, count);
 });
 
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -35,32 +35,32 @@
 
 A client that keeps repeating a request that crashes replicas ends four of them in the five minutes after that, instead of several in a second; a popular request that is held back wrongly is unavailable for half a minute. An item of a batch job is due within some tens of seconds, and is tried sooner.
 */
-const firstHoldMs: Readonly<Record<LoadKind, number>> = {online: 30_000, batch: 10_000};
+const initialHoldMs: Readonly<Record<LoadKind, number>> = {online: 30_000, batch: 10_000};
 
 /** The longest time for which a request is held back, in milliseconds. */
-const mostHoldMs = 3_600_000;
+const maxHoldMs = 3_600_000;
 
 /** Crashes are retained for longer than any request is held back, in milliseconds. */
-const memoryMs = 2 * mostHoldMs;
+const retainCrashesMs = 2 * maxHoldMs;
 
 /** A crash or a cleared request is announced repeatedly for this long, in milliseconds: in eight messages, so that the loss of a few does no harm. */
-const tellMs = 2000;
+const announcedForMs = 2000;
 
 /** Maximum number of requests, the most recent ones, that are announced again when a peer joins; it reads the others from the records. */
-const maxToldAnew = 20;
+const maxReannounced = 20;
 
 /** Maximum number of crashes, and of cleared requests, in one message, the newest of each; about 7 kB. */
-const maxTold = 60;
+const maxAnnounced = 60;
 
 /** See the module's head. */
 export class Quarantine {
 	readonly #parts: QuarantineParts;
-	readonly #memory = new CrashHistory();
+	readonly #history = new CrashHistory();
 	readonly #events = new EventEmitter();
 	/** Requests that have reached the crash threshold, whether they may be tried again by now or not. */
 	readonly #held = new Set<ContentDigest>();
-	#toldCrashes: ReadonlyArray<Crash & {readonly at: number}> = [];
-	#toldAcquittals: ReadonlyArray<{readonly content: ContentDigest; readonly at: number}> = [];
+	#announcedCrashes: ReadonlyArray<Crash & {readonly at: number}> = [];
+	#announcedCleared: ReadonlyArray<{readonly content: ContentDigest; readonly at: number}> = [];
 
 	constructor(parts: QuarantineParts) {
 		this.#parts = parts;
@@ -68,7 +68,7 @@
 
 	/** Whether crashes are recorded for any request. While there are none, no digest of a request is needed. */
 	get hasSuspects(): boolean {
-		return this.#memory.size > 0;
+		return this.#history.size > 0;
 	}
 
 	/** Requests that are held back, and those that were and may be tried again. */
@@ -78,7 +78,7 @@
 
 	/** Calls the listener when there is something to announce to the peers at once. */
 	onAnnouncementDue(listener: () => void): void {
-		this.#events.on('news', listener);
+		this.#events.on('announcementDue', listener);
 	}
 
 	/** Calls the listener when a request is held back, for the first time or again. */
@@ -88,37 +88,37 @@
 
 	/** Calls the listener when the crashes of a request have been deleted. */
 	onCleared(listener: (content: ContentDigest) => void): void {
-		this.#events.on('acquitted', listener);
+		this.#events.on('cleared', listener);
 	}
 
 	/** @returns For how many more milliseconds a request is not to be sent; 0 where it may be. */
 	heldMs(content: ContentDigest, kind: LoadKind): number {
-		const crashes = this.#memory.countOf(content);
+		const crashes = this.#history.countOf(content);
 		if (crashes < crashThreshold) {
 			return 0;
 		}
 
-		const holdMs = Math.min(mostHoldMs, firstHoldMs[kind] * (2 ** (crashes - crashThreshold)));
-		return Math.max(0, this.#memory.lastCrashAt(content) + holdMs - this.#parts.clock.now());
+		const holdMs = Math.min(maxHoldMs, initialHoldMs[kind] * (2 ** (crashes - crashThreshold)));
+		return Math.max(0, this.#history.lastCrashAt(content) + holdMs - this.#parts.clock.now());
 	}
 
 	/** Whether a replica has ended before while running the request. */
 	isSuspected(content: ContentDigest): boolean {
-		return this.#memory.countOf(content) > 0;
+		return this.#history.countOf(content) > 0;
 	}
 
 	/** The recorded crashes of a request, and how long ago the last one was, in milliseconds. */
 	crashesOf(content: ContentDigest): {readonly starts: readonly string[]; readonly agoMs: number} {
-		return {starts: this.#memory.startsOf(content), agoMs: this.#parts.clock.now() - this.#memory.lastCrashAt(content)};
+		return {starts: this.#history.startsOf(content), agoMs: this.#parts.clock.now() - this.#history.lastCrashAt(content)};
 	}
 
 	/** Records that a replica has ended while it was running the request for this process. */
 	noteCrash(content: ContentDigest, replica: ReplicaRecord): void {
 		const crash = {content, start: startOf(replica)};
 		const now = this.#parts.clock.now();
-		if (this.#take(crash, now)) {
-			this.#tellAllOf([content]);
-			this.#events.emit('news');
+		if (this.#record(crash, now)) {
+			this.#announceAllOf([content]);
+			this.#events.emit('announcementDue');
 		}
 	}
 
@@ -129,29 +129,29 @@
 		}
 
 		const isUrgent = this.#held.has(content);
-		this.#toldAcquittals = [...this.#toldAcquittals, {content, at: this.#parts.clock.now()}];
+		this.#announcedCleared = [...this.#announcedCleared, {content, at: this.#parts.clock.now()}];
 		this.clear(content, 'it has completed');
 		if (isUrgent) {
-			this.#events.emit('news');
+			this.#events.emit('announcementDue');
 		}
 	}
 
 	/** Deletes the crashes of a request and releases it. */
 	clear(content: ContentDigest, reason: string): void {
-		this.#toldCrashes = this.#toldCrashes.filter(crash => crash.content !== content);
-		this.#memory.delete(content);
+		this.#announcedCrashes = this.#announcedCrashes.filter(crash => crash.content !== content);
+		this.#history.delete(content);
 		if (this.#held.delete(content)) {
 			this.#parts.log.emit(gatewayEvents.contentReleased, {content, reason});
 		}
 
-		this.#events.emit('acquitted', content);
+		this.#events.emit('cleared', content);
 	}
 
 	/** Records crashes from a peer's announcement or from a stored record, which occurred `agoMs` milliseconds ago. */
 	receiveCrashes(crashes: readonly Crash[], agoMs = 0): void {
 		const at = this.#parts.clock.now() - Math.max(0, agoMs);
 		crashes.forEach(crash => {
-			this.#take(crash, at);
+			this.#record(crash, at);
 		});
 	}
 
@@ -164,49 +164,49 @@
 
 	/** Announces requests with more than one crash again: a peer may have been partitioned, or may have just started. */
 	reannounce(): void {
-		const contents = this.#memory.withAtLeast(crashThreshold - 1).slice(-maxToldAnew);
+		const contents = this.#history.withAtLeast(crashThreshold - 1).slice(-maxReannounced);
 		if (contents.length > 0) {
-			this.#tellAllOf(contents);
-			this.#events.emit('news');
+			this.#announceAllOf(contents);
+			this.#events.emit('announcementDue');
 		}
 	}
 
 	/** What is to be announced to the peers now; usually empty. */
 	announcement(): CrashAnnouncement {
-		const since = this.#parts.clock.now() - tellMs;
-		this.#toldCrashes = this.#toldCrashes.filter(({at}) => at >= since);
-		this.#toldAcquittals = this.#toldAcquittals.filter(({at}) => at >= since);
+		const since = this.#parts.clock.now() - announcedForMs;
+		this.#announcedCrashes = this.#announcedCrashes.filter(({at}) => at >= since);
+		this.#announcedCleared = this.#announcedCleared.filter(({at}) => at >= since);
 		return {
-			crashes: this.#toldCrashes.slice(-maxTold).map(({content, start}) => ({content, start})),
-			acquitted: this.#toldAcquittals.slice(-maxTold).map(({content}) => content),
+			crashes: this.#announcedCrashes.slice(-maxAnnounced).map(({content, start}) => ({content, start})),
+			acquitted: this.#announcedCleared.slice(-maxAnnounced).map(({content}) => content),
 		};
 	}
 
 	/** Deletes crashes beyond their retention time. To be called regularly. */
 	deleteExpired(): void {
-		this.#memory.deleteBefore(this.#parts.clock.now() - memoryMs);
+		this.#history.deleteBefore(this.#parts.clock.now() - retainCrashesMs);
 		this.held.filter(content => !this.isSuspected(content)).forEach(content => {
 			this.clear(content, 'its crashes have expired');
 		});
 	}
 
-	#tellAllOf(contents: readonly ContentDigest[]) {
+	#announceAllOf(contents: readonly ContentDigest[]) {
 		const at = this.#parts.clock.now();
-		const toTell = new Set(contents);
-		const crashes = contents.flatMap(content => this.#memory.startsOf(content).map(start => ({content, start, at})));
-		this.#toldCrashes = [...this.#toldCrashes.filter(({content}) => !toTell.has(content)), ...crashes];
+		const toAnnounce = new Set(contents);
+		const crashes = contents.flatMap(content => this.#history.startsOf(content).map(start => ({content, start, at})));
+		this.#announcedCrashes = [...this.#announcedCrashes.filter(({content}) => !toAnnounce.has(content)), ...crashes];
 	}
 
-	#take(crash: Crash, at: number): boolean {
-		const isNew = this.#memory.record(crash, at);
+	#record(crash: Crash, at: number): boolean {
+		const isNew = this.#history.record(crash, at);
 		const {content} = crash;
 		const heldMs = this.heldMs(content, 'online');
 		if (isNew && heldMs > 0) {
 			this.#held.add(content);
-			this.#parts.log.emit(gatewayEvents.contentQuarantined, {content, crashes: this.#memory.countOf(content), heldMs: Math.round(heldMs)});
+			this.#parts.log.emit(gatewayEvents.contentQuarantined, {content, crashes: this.#history.countOf(content), heldMs: Math.round(heldMs)});
 			// The process that saw the last crash may have recorded fewer than this one: it may have just started.
-			this.#tellAllOf([content]);
-			this.#events.emit('news');
+			this.#announceAllOf([content]);
+			this.#events.emit('announcementDue');
 			this.#events.emit('held');
 		}
 
--- a/src/gateway/quarantine/tracked-content.ts
+++ b/src/gateway/quarantine/tracked-content.ts
@@ -54,9 +54,9 @@
 
 	/** Records that its connection broke during a run. Resolves once it is known whether the replica has ended. */
 	async noteConnectionLost(replica: Replica): Promise<void> {
-		const {quarantine, reachability: contacts, log} = this.#parts;
+		const {quarantine, reachability, log} = this.#parts;
 		const {record} = replica;
-		if (await contacts.hasEnded(replica)) {
+		if (await reachability.hasEnded(replica)) {
 			log.emit(gatewayEvents.replicaTerminated, {replica: record.id, content: this.digest});
 			quarantine.noteCrash(this.digest, record);
 		}
