--- a/src/gateway/accounts/rate-limits.feature
+++ b/src/gateway/accounts/rate-limits.feature
@@ -4,7 +4,7 @@
   lose calls. Here the account may make 58 calls a second, with a burst of 58.
 
   Scenario Outline: <pattern>
-    Given 21 processes that announce the calls they admit to each other
+    Given 21 processes that announce their admitted calls to each other
     When an account makes <calls> calls a second, <share> of them at the first process
     Then no window holds more than the limit allows
     And at least <served> of the calls that the limit allows are served
@@ -19,19 +19,19 @@
 
   Scenario: Partitioned processes do not use the entire limit for themselves
     # Guards against a limit that is granted once on each side of a network partition.
-    Given 21 processes that announce the calls they admit to each other
+    Given 21 processes that announce their admitted calls to each other
     And 2 of them are partitioned from the others for 10 s
     When an account makes 464 calls a second, 0.05 of them at the first process
     Then no window holds more than the limit allows
 
   Scenario: Processes that are partitioned in halves do not use the entire limit on each side
-    Given 21 processes that announce the calls they admit to each other
+    Given 21 processes that announce their admitted calls to each other
     And 10 of them are partitioned from the others for 10 s
     When an account makes 464 calls a second, 0.05 of them at the first process
     Then no window holds more than the limit allows
 
   Scenario: Processes that are all restarted do not grant the burst again
-    Given 21 processes that announce the calls they admit to each other
+    Given 21 processes that announce their admitted calls to each other
     And all of them are restarted after 8 s
     When an account makes 464 calls a second, 0.05 of them at the first process
     Then no window holds more than the limit allows
--- a/src/gateway/accounts/rate-limits.steps.ts
+++ b/src/gateway/accounts/rate-limits.steps.ts
@@ -37,7 +37,7 @@
 
 const admitted = (decisions: readonly LimitDecision[]): number => decisions.filter(decision => 'credit' in decision).length;
 
-Given('{int} processes that announce the calls they admit to each other', function (this: LimitsWorld, processes: number) {
+Given('{int} processes that announce their admitted calls to each other', function (this: LimitsWorld, processes: number) {
 	this.load = {processes, limit, strategy: 'told'};
 });
 
--- a/src/gateway/peers/object-relay.feature
+++ b/src/gateway/peers/object-relay.feature
@@ -1,6 +1,6 @@
 Feature: A front detects the end of an outage of the object API
-  Data that a front retains during an outage, such as replicas whose registrations are missing, may be retained for a
-  limited time after the outage only. The front must detect the end of the outage within a second.
+  Data that a front retains during an outage, such as replicas whose registrations are missing, may be retained only for a
+  limited time after the outage. The front must detect the end of the outage within a second.
 
   Scenario: The object API does not answer
     # A call without an answer fails after 600 ms. If the next attempt were timed from its end, it would start 1.1 s after
