--- a/src/gateway/contacts/replica-reachability.ts
+++ b/src/gateway/contacts/replica-reachability.ts
@@ -42,7 +42,7 @@
 	readonly connectTimeoutMs: number;
 	/** Milliseconds without a byte after which `isReachable` is to be called. */
 	readonly probeAfterMs: number;
-	/** Records that a connection was established for the request within this many milliseconds. Not to be called for a reused connection. */
+	/** Records that a connection was established for the request within this many milliseconds. Not to be called for a reused connection, which says nothing about connect times. */
 	noteConnected(ms: number): void;
 	/** Records that bytes were received from the replica. */
 	noteBytes(): void;
