--- a/src/gateway/accounts/rate-limits.ts
+++ b/src/gateway/accounts/rate-limits.ts
@@ -13,19 +13,19 @@
 /** Usage is repeated in each announcement for this long after a change, in milliseconds: single messages are lost. */
 const repeatedForMs = 800;
 
-/** What a peer admitted so long before this process started may still count, in milliseconds. */
+/** Calls that a peer admitted up to this long before this process started may still count, in milliseconds. */
 const countedBeforeMs = 5000;
 
-/** An account without calls for so long is forgotten, in milliseconds; its bucket is full by then. */
-const forgottenMs = 60_000;
+/** The bucket of an account without calls for this long, in milliseconds, is removed; it is full by then. */
+const retainIdleMs = 60_000;
 
-/** An account that is over its limit is logged this often, in milliseconds, besides each call that is refused. */
-const reportEveryMs = 1000;
+/** Interval at which an account over its limit is logged, in milliseconds, in addition to each rejected call. */
+const reportIntervalMs = 1000;
 
-/** Registered processes that were never seen count as taking their share for this long after the start, in milliseconds; entries of VMs that are gone stay longer. */
-const unknownForMs = 30_000;
+/** Registered processes that were never seen are assumed to use their share for this long after the start, in milliseconds; the records of removed VMs stay longer. */
+const unknownShareForMs = 30_000;
 
-/** What the limits need. */
+/** Dependencies of the limits. */
 export type RateLimitsParts = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -37,13 +37,13 @@
 	readonly livePeers: () => ReadonlySet<MemberName>;
 };
 
-/** What an admitted call holds. */
+/** The token that an admitted call has used. */
 export type RateCredit = {
-	/** The call was refused after all, and has run nowhere. */
+	/** Returns the token of a call that was rejected later without having run. */
 	refund(): void;
 };
 
-/** A call is admitted, or may come back later. */
+/** A call is admitted, or may be retried later. */
 export type LimitDecision = {readonly credit: RateCredit} | {readonly retryAfterMs: number};
 
 type Refusals = {count: number; reportedAt: number};
@@ -92,7 +92,7 @@
 	/** Usage to announce to the peers now. */
 	announcement(): readonly AccountUsage[] {
 		const now = this.#parts.clock.now();
-		this.#forgetIdle(now);
+		this.#removeIdle(now);
 		return [...this.#buckets]
 			.filter(([, {ownChangedAt}]) => now - ownChangedAt < repeatedForMs)
 			.map(([account, {usage}]) => ({account, ...usage}));
@@ -111,9 +111,9 @@
 	}
 
 	#bucketOf(account: ClientAccountName, limit: RateLimit, now: number): SharedBucket {
-		const known = this.#buckets.get(account);
-		if (known) {
-			return known;
+		const existing = this.#buckets.get(account);
+		if (existing) {
+			return existing;
 		}
 
 		const bucket = new SharedBucket(limit, {tolerance: this.#parts.tolerance, idleMs: now - this.#startedAt, now});
@@ -124,16 +124,16 @@
 	#membership(now: number): Membership {
 		const live = this.#parts.livePeers();
 		const registered = Math.max(this.#parts.registeredCount(), live.size + 1);
-		const isYoung = now - this.#startedAt < unknownForMs;
+		const hasJustStarted = now - this.#startedAt < unknownShareForMs;
 		return {
 			isLivePeer: peer => live.has(peer),
-			unknownShare: isYoung ? (registered - 1 - live.size) / registered : 0,
+			unknownShare: hasJustStarted ? (registered - 1 - live.size) / registered : 0,
 			leastShare: 1 / registered,
 		};
 	}
 
-	#forgetIdle(now: number) {
-		[...this.#buckets].filter(([, {changedAt}]) => now - changedAt > forgottenMs).forEach(([account]) => {
+	#removeIdle(now: number) {
+		[...this.#buckets].filter(([, {changedAt}]) => now - changedAt > retainIdleMs).forEach(([account]) => {
 			this.#buckets.delete(account);
 			this.#refusals.delete(account);
 		});
@@ -143,7 +143,7 @@
 		const refusals = this.#refusals.get(account) ?? {count: 0, reportedAt: -Infinity};
 		this.#refusals.set(account, refusals);
 		refusals.count += 1;
-		if (now - refusals.reportedAt < reportEveryMs) {
+		if (now - refusals.reportedAt < reportIntervalMs) {
 			return;
 		}
 
--- a/src/gateway/peers/peer-announcer.ts
+++ b/src/gateway/peers/peer-announcer.ts
@@ -1,5 +1,5 @@
 /**
-Tells the peers of this process what it has in flight: soon after each change, and at least several times a second.
+Announces this process's state to its peers, such as its requests in flight: soon after each change, and at least several times a second.
 */
 import type {Clock, Disposable} from '../../common/services.js';
 import type {DatagramChannel} from '../../io/datagram-channel.js';
@@ -17,40 +17,40 @@
 import type {PeerTable} from './peer-table.js';
 import type {FeedCheck} from './shared-checks.js';
 
-/** Changes are gathered for this long at least, in milliseconds: short against the near second that an online call holds its place, and 25 messages a second at most to each peer. */
-const leastGatherMs = 40;
+/** Minimum time, in milliseconds, for which changes are gathered before they are announced. It is short compared to the almost one second for which an online call occupies its slot, and limits a process to 25 messages a second to each peer. */
+const minDelayMs = 40;
 
-/** And for this long for each peer, so that the messages of one process stay at 500 a second however many peers it has. Later news sends the calls of a wave to replicas that are full by then. */
-const gatherMsForEachPeer = 2;
+/** Gathering time for each peer, in milliseconds, which limits a process to 500 messages a second however many peers it has. With later announcements, the calls of a burst would be sent to replicas that are already full. */
+const delayPerPeerMs = 2;
 
-/** An online call that finds no free place at a replica with items is told this soon, in milliseconds, so that whoever runs the items cuts one off. */
-const urgentMs = 5;
+/** An online call that finds no free slot at a replica with items is announced within this time, in milliseconds, so that the process that runs the items preempts one. */
+const urgentDelayMs = 5;
 
 /**
-@param peers - How many peers are heard.
-@returns Milliseconds until a change has been told.
+@param peers - Number of live peers.
+@returns Milliseconds until a change is announced.
 */
-export const announcementDelayMs = (peers: number): number => Math.max(leastGatherMs, gatherMsForEachPeer * peers);
+export const announcementDelayMs = (peers: number): number => Math.max(minDelayMs, delayPerPeerMs * peers);
 
-/** Without a change, milliseconds between messages. */
+/** Interval between announcements without a change, in milliseconds. */
 const heartbeatMs = 250;
 
-/** News of crashes is told at once, and again this often, in milliseconds: a request that ends replicas is back at another process within a tenth of a second, and single messages are lost. */
-const crashesEveryMs = 250;
+/** Crashes are announced at once and repeated at this interval, in milliseconds: a request that crashes replicas arrives at another process within a tenth of a second, and single messages are lost. */
+const crashesIntervalMs = 250;
 
-/** Failed runs of items are told soon, and again this often, in milliseconds; an item's next run follows 200 ms after the one that failed. */
-const failedRunsEveryMs = 250;
+/** Failed runs of items are announced soon and repeated at this interval, in milliseconds; an item's next run starts 200 ms after the failed one. */
+const failedRunsIntervalMs = 250;
 
-/** Calls of limited accounts are told this often, in milliseconds: near a limit, what has not been told yet is admitted twice. */
-const accountUsageEveryMs = 100;
+/** Interval at which the usage of rate-limited accounts is announced, in milliseconds: near a limit, calls that have not been announced yet are admitted twice. */
+const accountUsageIntervalMs = 100;
 
-/** Outcomes are told this often, in milliseconds, and only where any request failed: they fade over seconds, and in each message they would double its size while half of the replicas fail now and then. */
-const outcomesEveryMs = 250;
+/** Interval at which outcomes are announced, in milliseconds, and only for replicas where a request failed: they decay over seconds, and in each message they would double its size while half of the replicas fail occasionally. */
+const outcomesIntervalMs = 250;
 
-/** To hundredths, which decide nothing, so that a message stays short. */
+/** Rounds to hundredths to keep messages short; smaller differences affect no decision. */
 const rounded = ({requests, failures}: OutcomeCounts): OutcomeCounts => ({requests: Math.round(100 * requests) / 100, failures: Math.round(100 * failures) / 100});
 
-/** What the announcer reads. */
+/** Dependencies of the announcer. */
 export type AnnouncerParts = {
 	readonly self: MemberName;
 	readonly channel: DatagramChannel;
@@ -62,12 +62,12 @@
 	readonly rateLimits: RateLimits;
 	readonly checks: () => readonly FeedCheck[] | undefined;
 	readonly clock: Clock;
-	/** Addresses of members that were registered, heard or not. */
+	/** Addresses of registered members, live or not. */
 	readonly memberAddresses: () => readonly string[];
 	readonly claimedJobs: () => readonly BatchJobId[];
 	readonly waitingItems: () => readonly SharedWaiting[];
 	readonly isLeaving: () => boolean;
-	/** `ip:port` where this process takes its peers' calls. */
+	/** `ip:port` at which this process accepts its peers' calls. */
 	readonly rpcAddress: () => string;
 	readonly reachesObjectApi: () => boolean;
 };
@@ -78,10 +78,10 @@
 	readonly #startedAt: number;
 	#seq = 0;
 	#pendingAt = 0;
-	#outcomesToldAt = -Infinity;
-	#crashesToldAt = -Infinity;
-	#failedRunsToldAt = -Infinity;
-	#accountUsageToldAt = -Infinity;
+	#outcomesAnnouncedAt = -Infinity;
+	#crashesAnnouncedAt = -Infinity;
+	#failedRunsAnnouncedAt = -Infinity;
+	#accountUsageAnnouncedAt = -Infinity;
 	#pending: NodeJS.Timeout | undefined;
 	#heartbeat: NodeJS.Timeout | undefined;
 	#isDisposed = false;
@@ -90,25 +90,25 @@
 		this.#parts = parts;
 		this.#startedAt = parts.clock.wall();
 		parts.loads.onLocalChange(({total, allBatch, batch, record}) => {
-			const peersMustCut = total > record.slots && allBatch > batch;
-			this.#announceWithin(peersMustCut ? urgentMs : announcementDelayMs(parts.peers.live.length));
+			const peersMustPreempt = total > record.slots && allBatch > batch;
+			this.#announceWithin(peersMustPreempt ? urgentDelayMs : announcementDelayMs(parts.peers.live.length));
 		});
 		parts.quarantine.onAnnouncementDue(() => {
-			this.#crashesToldAt = -Infinity;
-			this.#announceWithin(urgentMs);
+			this.#crashesAnnouncedAt = -Infinity;
+			this.#announceWithin(urgentDelayMs);
 		});
 		parts.failedRuns.onAnnouncementDue(() => {
-			this.#failedRunsToldAt = -Infinity;
+			this.#failedRunsAnnouncedAt = -Infinity;
 			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 		parts.peers.onMembership(() => {
 			parts.quarantine.reannounce();
-			// A peer that has just come must hear soon which jobs are run here.
+			// A peer that has just joined must soon receive the list of jobs that this process runs.
 			this.#announceWithin(announcementDelayMs(parts.peers.live.length));
 		});
 	}
 
-	/** Begins to send. */
+	/** Starts announcing. */
 	start(): void {
 		this.#heartbeat = setInterval(() => {
 			this.#send();
@@ -116,9 +116,9 @@
 		this.#send();
 	}
 
-	/** Sends within the gathering time. */
+	/** Sends an announcement within the minimum gathering time. */
 	announceSoon(): void {
-		this.#announceWithin(leastGatherMs);
+		this.#announceWithin(minDelayMs);
 	}
 
 	dispose(): void {
@@ -128,7 +128,7 @@
 	}
 
 	#announceWithin(ms: number) {
-		// Whether a replica has ended may be found out after the channel was closed.
+		// A check whether a replica has ended may complete after the channel was closed.
 		if (this.#isDisposed) {
 			return;
 		}
@@ -150,7 +150,7 @@
 		this.#pending = undefined;
 		this.#heartbeat?.refresh();
 		const {channel, peers, memberAddresses} = this.#parts;
-		// Under load every message comes from a change and the heartbeat never falls due, so silence is looked for with each message: a peer that died would otherwise keep its jobs until the load ends.
+		// Under load every message is caused by a change and the heartbeat never fires, so unresponsive peers are removed with each message. A terminated peer would otherwise keep its jobs until the load ends.
 		peers.removeUnresponsive();
 		const addresses = new Set([...memberAddresses(), ...peers.live.map(({state}) => state.address)]);
 		addresses.delete(channel.address);
@@ -169,42 +169,42 @@
 
 	#crashesDue(): Partial<CrashAnnouncement> {
 		const {quarantine, clock} = this.#parts;
-		if (!quarantine.hasSuspects || clock.now() - this.#crashesToldAt < crashesEveryMs) {
+		if (!quarantine.hasSuspects || clock.now() - this.#crashesAnnouncedAt < crashesIntervalMs) {
 			return {};
 		}
 
-		this.#crashesToldAt = clock.now();
+		this.#crashesAnnouncedAt = clock.now();
 		return quarantine.announcement();
 	}
 
 	#failedRunsDue(): readonly FailedRun[] | undefined {
 		const {failedRuns, clock} = this.#parts;
-		if (clock.now() - this.#failedRunsToldAt < failedRunsEveryMs) {
+		if (clock.now() - this.#failedRunsAnnouncedAt < failedRunsIntervalMs) {
 			return undefined;
 		}
 
-		this.#failedRunsToldAt = clock.now();
+		this.#failedRunsAnnouncedAt = clock.now();
 		return failedRuns.announcement();
 	}
 
 	#accountUsageDue(): readonly AccountUsage[] | undefined {
 		const {rateLimits, clock} = this.#parts;
-		if (clock.now() - this.#accountUsageToldAt < accountUsageEveryMs) {
+		if (clock.now() - this.#accountUsageAnnouncedAt < accountUsageIntervalMs) {
 			return undefined;
 		}
 
-		this.#accountUsageToldAt = clock.now();
-		const news = rateLimits.announcement();
-		return news.length === 0 ? undefined : news;
+		this.#accountUsageAnnouncedAt = clock.now();
+		const usage = rateLimits.announcement();
+		return usage.length === 0 ? undefined : usage;
 	}
 
 	#outcomesDue(): SharedOutcomes[] | undefined {
 		const now = this.#parts.clock.now();
-		if (now - this.#outcomesToldAt < outcomesEveryMs) {
+		if (now - this.#outcomesAnnouncedAt < outcomesIntervalMs) {
 			return undefined;
 		}
 
-		this.#outcomesToldAt = now;
+		this.#outcomesAnnouncedAt = now;
 		return [...this.#parts.directory.all]
 			.filter(({outcomes}) => outcomes.failureShare(now) > 0)
 			.map(({record, outcomes}) => ({replica: record.id, startedAt: record.startedAt, ...rounded(outcomes.ownCounts(now))}));
--- a/src/gateway/peers/peer-table.ts
+++ b/src/gateway/peers/peer-table.ts
@@ -1,5 +1,5 @@
 /**
-The other processes of the gateway as far as they are heard: part of the blackboard. Whoever is silent for longer than a few messages is taken for gone, its requests in flight are counted no longer, and its jobs are open to others.
+The other live processes of the gateway and the state that each has announced: part of the blackboard. A peer from which several messages in a row are missing is considered terminated: its requests in flight no longer count, and other processes may claim its jobs.
 */
 import {EventEmitter} from 'node:events';
 import type {Clock, EventLog} from '../../common/services.js';
@@ -10,20 +10,20 @@
 import type {BatchJobId, MemberName, ReplicaId} from '../types.js';
 import type {PeerState, SharedLoad} from './peer-state.js';
 
-/** A peer sends at least every 250 ms; this many milliseconds of silence are four messages lost in a row, or the peer. */
-const silenceMs = 1200;
+/** A peer sends at least every 250 ms. After this many milliseconds without a message, either four messages in a row were lost or the peer has terminated. */
+const unresponsiveAfterMs = 1200;
 
-/** Silence is looked for at least every 250 ms; after a longer time than this between two looks, in milliseconds, this process itself was paused. */
-const standstillMs = 600;
+/** Unresponsive peers are looked for at least every 250 ms. If two checks are further apart than this, in milliseconds, this process itself was paused. */
+const pauseThresholdMs = 600;
 
-/** A peer that is heard. */
+/** A live peer. */
 export type Peer = {
 	readonly state: PeerState;
-	readonly heardAt: number;
+	readonly lastSeenAt: number;
 	readonly jobs: ReadonlySet<BatchJobId>;
 };
 
-/** What the table reads and writes. */
+/** Dependencies of the table. */
 export type PeerTableParts = {
 	readonly self: MemberName;
 	readonly directory: ReplicaDirectory;
@@ -38,92 +38,92 @@
 	readonly #parts: PeerTableParts;
 	readonly #events = new EventEmitter();
 	readonly #peers = new Map<MemberName, Peer>();
-	#lookedAt: number;
-	/** When this process last went on after a pause. */
-	#wokeAt = -Infinity;
+	#checkedAt: number;
+	/** When this process last resumed after a pause. */
+	#resumedAt = -Infinity;
 
 	constructor(parts: PeerTableParts) {
 		this.#parts = parts;
-		this.#lookedAt = parts.clock.now();
+		this.#checkedAt = parts.clock.now();
 	}
 
-	/** Peers that are heard. */
+	/** Live peers. */
 	get live(): readonly Peer[] {
 		return [...this.#peers.values()];
 	}
 
-	/** Names of the peers that are heard. */
+	/** Names of the live peers. */
 	get names(): ReadonlySet<MemberName> {
 		return new Set(this.#peers.keys());
 	}
 
-	/** How many processes share the replicas, this one included. */
+	/** Number of processes that share the replicas, this one included. */
 	get processCount(): number {
 		return this.#peers.size + 1;
 	}
 
-	/** Calls the listener when a peer comes, goes, or says that it is leaving. */
+	/** Calls the listener when a peer joins, restarts or is removed, or announces that it is leaving. */
 	onMembership(listener: () => void): void {
 		this.#events.on('membership', listener);
 	}
 
-	/** Calls the listener with each state that is taken over. */
+	/** Calls the listener with each state that is applied. */
 	onState(listener: (state: PeerState) => void): void {
 		this.#events.on('state', listener);
 	}
 
-	/** Takes over what a peer says of itself. Messages that another has overtaken change nothing. */
+	/** Applies a state that a peer has announced. Messages that a later one has overtaken are ignored. */
 	receive(state: PeerState): void {
 		const {self, clock, log} = this.#parts;
 		if (state.member === self) {
 			return;
 		}
 
-		const known = this.#peers.get(state.member);
-		if (known && !isNewer(state, known.state)) {
+		const previous = this.#peers.get(state.member);
+		if (previous && !isNewer(state, previous.state)) {
 			return;
 		}
 
-		this.#peers.set(state.member, {state, heardAt: clock.now(), jobs: new Set(state.jobs)});
-		this.#takeLoads(state, known?.state);
-		this.#takeOutcomes(state);
-		this.#takeCrashes(state);
+		this.#peers.set(state.member, {state, lastSeenAt: clock.now(), jobs: new Set(state.jobs)});
+		this.#applyLoads(state, previous?.state);
+		this.#applyOutcomes(state);
+		this.#applyCrashes(state);
 		this.#events.emit('state', state);
-		if (!known) {
+		if (!previous) {
 			log.emit(gatewayEvents.peerJoined, {peer: state.member, address: state.address});
 		}
 
-		if (known?.state.isLeaving !== state.isLeaving || known.state.startedAt !== state.startedAt) {
+		if (previous?.state.isLeaving !== state.isLeaving || previous.state.startedAt !== state.startedAt) {
 			this.#events.emit('membership');
 		}
 	}
 
-	/** Drops the peers that have gone silent. Call it every now and then. */
+	/** Removes unresponsive peers. To be called regularly. */
 	removeUnresponsive(): void {
 		const {clock, log} = this.#parts;
 		const now = clock.now();
-		this.#noteStandstill(now);
-		const silent = [...this.#peers.values()].filter(({heardAt}) => now - Math.max(heardAt, this.#wokeAt) > silenceMs);
-		silent.forEach(({state, heardAt}) => {
-			log.emit(gatewayEvents.peerUnresponsive, {peer: state.member, silentMs: Math.round(now - heardAt)});
+		this.#detectPause(now);
+		const unresponsive = [...this.#peers.values()].filter(({lastSeenAt}) => now - Math.max(lastSeenAt, this.#resumedAt) > unresponsiveAfterMs);
+		unresponsive.forEach(({state, lastSeenAt}) => {
+			log.emit(gatewayEvents.peerUnresponsive, {peer: state.member, silentMs: Math.round(now - lastSeenAt)});
 			this.#peers.delete(state.member);
-			this.#takeLoads({...state, loads: []}, state);
+			this.#applyLoads({...state, loads: []}, state);
 		});
-		if (silent.length > 0) {
+		if (unresponsive.length > 0) {
 			this.#events.emit('membership');
 		}
 	}
 
-	/** Timers come before messages: right after a pause, what the peers have sent meanwhile is still unread, and all of them would pass for gone. Their jobs would be claimed and run twice. */
-	#noteStandstill(now: number) {
-		if (now - this.#lookedAt > standstillMs) {
-			this.#wokeAt = now;
+	/** Timers fire before messages are read: right after a pause, the messages that peers have sent meanwhile are still unread, and all peers would be considered terminated. Their jobs would be claimed and run twice. */
+	#detectPause(now: number) {
+		if (now - this.#checkedAt > pauseThresholdMs) {
+			this.#resumedAt = now;
 		}
 
-		this.#lookedAt = now;
+		this.#checkedAt = now;
 	}
 
-	#takeOutcomes({member, outcomes = []}: PeerState) {
+	#applyOutcomes({member, outcomes = []}: PeerState) {
 		const {directory, clock} = this.#parts;
 		outcomes.forEach(({replica: id, startedAt, ...counts}) => {
 			const replica = directory.get(id);
@@ -133,24 +133,24 @@
 		});
 	}
 
-	#takeCrashes({crashes = [], acquitted = []}: PeerState) {
+	#applyCrashes({crashes = [], acquitted = []}: PeerState) {
 		const {quarantine} = this.#parts;
 		quarantine.receiveCrashes(crashes);
 		quarantine.receiveCleared(acquitted);
 	}
 
-	#takeLoads(after: PeerState, before: PeerState | undefined) {
+	#applyLoads(after: PeerState, before: PeerState | undefined) {
 		const listed = new Set<ReplicaId>(after.loads.map(({replica}) => replica));
 		after.loads.forEach(load => {
-			this.#note(after.member, load);
+			this.#applyLoad(after.member, load);
 		});
 		before?.loads.filter(({replica}) => !listed.has(replica)).forEach(({replica}) => {
-			this.#note(after.member, {replica, online: 0, batch: 0});
+			this.#applyLoad(after.member, {replica, online: 0, batch: 0});
 		});
 	}
 
-	/** Requests at an earlier start of a replica take no place at this one. */
-	#note(peer: MemberName, {replica: id, startedAt, online, batch}: SharedLoad) {
+	/** Requests at an earlier start of a replica occupy no slot at the current one. */
+	#applyLoad(peer: MemberName, {replica: id, startedAt, online, batch}: SharedLoad) {
 		const replica = this.#parts.directory.get(id);
 		if (!replica) {
 			return;
--- a/src/gateway/quarantine/quarantine-records.ts
+++ b/src/gateway/quarantine/quarantine-records.ts
@@ -1,5 +1,5 @@
 /**
-Keeps in the object API which requests end the replicas that run them. All processes of the gateway may be killed at the same moment; without a record, each of these requests would end three more replicas afterwards, and again after the next time.
+Stores in the object API which requests crash the replicas that run them. All processes of the gateway may be killed at the same moment; without a record, each of these requests would crash three more replicas after each such restart.
 
 A record is written as soon as its request is held back. Deleting the record releases the request at every process.
 */
@@ -21,15 +21,15 @@
 import type {ReplicaStart} from './crash-history.js';
 import type {Quarantine} from './quarantine.js';
 
-/** What stands in the object API, under the content's digest. */
+/** The stored value of a `Quarantine` object; the content's digest is the object's name. */
 export type QuarantineRecord = {
-	/** Replicas that ended under the request. */
+	/** Replicas that ended while running the request. */
 	readonly starts: readonly ReplicaStart[];
-	/** When the last one did, in milliseconds of the wall clock. */
+	/** When the last one ended, in milliseconds of the wall clock. */
 	readonly lastCrashAt: number;
 };
 
-/** What the records are read and written with. */
+/** Dependencies of the records. */
 export type QuarantineRecordsParts = {
 	readonly self: MemberName;
 	readonly quarantine: Quarantine;
@@ -40,13 +40,13 @@
 	readonly log: EventLog;
 };
 
-/** How often it is tried again to write or remove what is still to be, in milliseconds: the object API may be away more often than not, and all processes may be killed before long. */
-const lookMs = 200;
+/** Interval at which outstanding writes and removals are retried, in milliseconds: the object API may be unavailable most of the time, and all processes may be killed soon. */
+const retryIntervalMs = 200;
 
-/** The first of the ranking writes at once; after this long, in milliseconds, any process does, since the first may be cut off from the object API. */
-const turnMs = 2000;
+/** The first process of the ranking writes a record at once; after this long, in milliseconds, any process does, since the first may be partitioned from the object API. */
+const takeoverMs = 2000;
 
-type KnownRecord = {readonly version: Revision; readonly crashes: number};
+type StoredRecord = {readonly version: Revision; readonly crashes: number};
 
 /** Whether a value is a {@link QuarantineRecord}. */
 export const isQuarantineRecord = objectOf({starts: listOf(isNonEmptyString), lastCrashAt: isNonNegativeNumber});
@@ -54,7 +54,7 @@
 /** See the module's head. */
 export class QuarantineRecords implements Disposable {
 	readonly #parts: QuarantineRecordsParts;
-	readonly #records = new Map<ContentDigest, KnownRecord>();
+	readonly #records = new Map<ContentDigest, StoredRecord>();
 	/** Requests that were released and whose records are still to be removed. */
 	readonly #releases = new Set<ContentDigest>();
 	readonly #heldSince = new Map<ContentDigest, number>();
@@ -70,20 +70,20 @@
 				this.#noteRemoved(content);
 			});
 			items.forEach(item => {
-				this.#take(item);
+				this.#apply(item);
 			});
 		});
 		feed.onChanges(events => {
 			events.forEach(({type, name, value, version}) => {
 				if (type === 'put') {
-					this.#take({name, value, version});
+					this.#apply({name, value, version});
 				} else {
 					this.#noteRemoved(name as ContentDigest);
 				}
 			});
 		});
 		quarantine.onHeld(() => {
-			void this.#bringInLine();
+			void this.#reconcile();
 		});
 		quarantine.onCleared(content => {
 			if (this.#records.delete(content)) {
@@ -95,17 +95,17 @@
 	start(): void {
 		this.#timer = setInterval(() => {
 			this.#parts.quarantine.deleteExpired();
-			void this.#bringInLine();
-		}, lookMs);
+			void this.#reconcile();
+		}, retryIntervalMs);
 	}
 
 	dispose(): void {
 		clearInterval(this.#timer);
 	}
 
-	#take({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
+	#apply({name, value, version}: Pick<StoredObject, 'name' | 'value' | 'version'>) {
 		if (!isQuarantineRecord(value)) {
-			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record cannot be read'});
+			this.#parts.log.emit(gatewayEvents.quarantineSyncFailed, {content: name, reason: 'the record is invalid'});
 			return;
 		}
 
@@ -126,8 +126,8 @@
 		}
 	}
 
-	/** Writes what is held back and does not stand in the object API yet, and removes what was released. */
-	async #bringInLine(): Promise<void> {
+	/** Writes the missing records of requests that are held back, and removes those of released requests. */
+	async #reconcile(): Promise<void> {
 		if (this.#isBusy) {
 			return;
 		}
@@ -154,7 +154,7 @@
 		return missing.filter(content => {
 			const since = this.#heldSince.get(content) ?? now;
 			this.#heldSince.set(content, since);
-			return this.#isOwn(content) || now - since >= turnMs;
+			return this.#isOwn(content) || now - since >= takeoverMs;
 		});
 	}
 
@@ -167,8 +167,8 @@
 		const {quarantine, api, clock} = this.#parts;
 		const {starts, agoMs} = quarantine.crashesOf(content);
 		const record = {starts, lastCrashAt: Math.round(clock.wall() - agoMs)};
-		const known = this.#records.get(content);
-		const written = known ? await api.update('Quarantine', content, record, known.version) : await api.create('Quarantine', content, record);
+		const stored = this.#records.get(content);
+		const written = stored ? await api.update('Quarantine', content, record, stored.version) : await api.create('Quarantine', content, record);
 		written.ifRight(({version}) => {
 			this.#records.set(content, {version, crashes: starts.length});
 		}).ifLeft(err => {
@@ -178,8 +178,8 @@
 
 	#onNotWritten(content: ContentDigest, err: ApiError) {
 		if (err.kind === 'conflict' && err.current) {
-			// Another process was there first.
-			this.#take(err.current);
+			// Another process has written the record first.
+			this.#apply(err.current);
 			return;
 		}
 
