--- a/src/gateway/attempt.steps.ts
+++ b/src/gateway/attempt.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for one attempt at a replica, on a connection that the test plays.
+Steps for one attempt at a replica, over a fake connection that the test controls.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -14,7 +14,7 @@
 type AttemptWorld = TestWorld & {
 	carrier: PlayedCarrier;
 	ends: AttemptEnd[];
-	/** How often it was asked whether the replica can be reached: at each look but the last. */
+	/** Number of reachability checks: one at each inactivity check but the last. */
 	questions: number;
 };
 
@@ -25,7 +25,7 @@
 	readAnswer: (_status, headers) => ({requestId: headers['call-id'] as string | undefined, hasNotRun: headers['not-run'] !== undefined}),
 };
 
-/** A connection that does what the test says. */
+/** A connection that is driven by the test and records what is done to it. */
 class PlayedCarrier implements AttemptConnection {
 	isReset = false;
 	isNew = true;
@@ -52,7 +52,7 @@
 		this.done.push('released');
 	}
 
-	/** As the HTTP library does it: what waits on the connection fails before this returns. */
+	/** Like the HTTP library, fails a pending request before it returns. */
 	discard(): void {
 		this.done.push('discarded');
 		this.handler.onResponseError?.(this.controller, new Error('destroyed'));
@@ -121,33 +121,33 @@
 	this.carrier.send();
 });
 
-Given('an attempt for call {string} that bears {int} ms of silence', function (this: AttemptWorld, id: string, silenceMs: number) {
+Given('an attempt for call {string} with an inactivity time-out of {int} ms', function (this: AttemptWorld, id: string, silenceMs: number) {
 	begin(this, id, {silenceMs});
 	this.carrier.send();
 });
 
-Given('an attempt for call {string} that bears {int} ms of silence, looked at every {int} ms', function (this: AttemptWorld, id: string, silenceMs: number, suspectMs: number) {
+Given('an attempt for call {string} with an inactivity time-out of {int} ms, checked every {int} ms', function (this: AttemptWorld, id: string, silenceMs: number, suspectMs: number) {
 	begin(this, id, {silenceMs, suspectMs});
 	this.carrier.send();
 });
 
 When('the process is paused for {int} ms within the attempt', pauseProcess);
 
-Then('it was looked at {int} times', function (this: AttemptWorld, times: number) {
+Then('it was checked {int} times', function (this: AttemptWorld, times: number) {
 	assert.equal(this.questions + 1, times);
 });
 
-Given('an attempt for call {string} at a replica that can no longer be reached', function (this: AttemptWorld, id: string) {
+Given('an attempt for call {string} at an unreachable replica', function (this: AttemptWorld, id: string) {
 	begin(this, id, {suspectMs: 20, isReachable: false});
 	this.carrier.send();
 });
 
-Given('an attempt for call {string} at a replica that is busy', function (this: AttemptWorld, id: string) {
+Given('an attempt for call {string} at a busy replica', function (this: AttemptWorld, id: string) {
 	begin(this, id, {suspectMs: 5, silenceMs: 60});
 	this.carrier.send();
 });
 
-Given('an attempt at a replica that may have left when its connection is made', function (this: AttemptWorld) {
+Given('an attempt at a replica that is no longer eligible when its connection is made', function (this: AttemptWorld) {
 	begin(this, 'c1', {isCurrent: false});
 	this.carrier.send();
 });
@@ -156,20 +156,20 @@
 	assert.ok(this.carrier.done.includes('aborted'));
 });
 
-When('its time to connect is over', async function (this: AttemptWorld) {
+When('its connect time-out expires', async function (this: AttemptWorld) {
 	await until(() => this.ends.length > 0, 'the attempt has ended');
 });
 
-When('an answer to {string} comes', function (this: AttemptWorld, id: string) {
+When('an answer to {string} arrives', function (this: AttemptWorld, id: string) {
 	this.carrier.answer(200, {'call-id': id, 'content-length': '0'});
 });
 
-When('the replica says that it has not run the call', function (this: AttemptWorld) {
+When('the replica states that it has not run the call', function (this: AttemptWorld) {
 	this.carrier.answer(503, {'call-id': 'c1', 'not-run': '1', 'content-length': '0'});
 	this.carrier.end();
 });
 
-When('an answer without a length comes and its connection is reset', function (this: AttemptWorld) {
+When('an answer without a length arrives and its connection is reset', function (this: AttemptWorld) {
 	this.carrier.answer(200, {'call-id': 'c1'});
 	this.carrier.isReset = true;
 	this.carrier.end();
@@ -184,7 +184,7 @@
 	assert.ok(this.carrier.done.includes('discarded'));
 });
 
-Then('its connection is free again', function (this: AttemptWorld) {
+Then('its connection is released', function (this: AttemptWorld) {
 	assert.deepEqual(this.carrier.done, ['released']);
 });
 
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,5 +1,5 @@
 /**
-One attempt to have a replica run a call: the request on one connection, and what came of it. It tells apart what a caller may be told: that the replica has certainly not run the call, or that only the replica knows.
+One attempt at running a call on a replica: the request on one connection, and its outcome. The outcome separates attempts that certainly did not run the call from those where only the replica knows whether it ran; a caller may be told only of the former that the call has not run. Online calls and batch items both use it.
 */
 import type {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
@@ -9,12 +9,12 @@
 import type {ReplicaConnection} from './replica-connection-pool.js';
 import type {AnswerFields, AttemptFields, CallDialect} from './types.js';
 
-/** What is sent, the same for each attempt of a call. */
+/** The request as it is sent, identical for each attempt of a call. */
 export type CallMessage = {
 	readonly method: string;
 	/** Path and query. */
 	readonly target: string;
-	/** The caller's, as names and values by turns. */
+	/** The caller's headers, as alternating names and values. */
 	readonly headers: readonly string[];
 	readonly body?: Buffer;
 };
@@ -23,18 +23,18 @@
 export type AnswerHead = {
 	readonly status: number;
 	readonly statusMessage: string;
-	/** Names and values by turns, as the replica sent them. */
+	/** Alternating names and values, as the replica sent them. */
 	readonly rawHeaders: string[];
-	/** Lower-case names. */
+	/** Keyed by lower-case name. */
 	readonly headers: NodeJS.Dict<string | string[]>;
-	/** False when only the end of the connection ends the answer. */
+	/** False when only the end of the connection delimits the answer. */
 	readonly isFramed: boolean;
 };
 
 /**
 How an attempt ended.
 
-`notSent`: no byte of the call can have reached the replica. `refused`: the replica states that it has not run it. `misdirected`: another replica has the address. `silent`, `cutOff` and `lost`: only the replica knows; `cutOff` where it can no longer be reached. `outdated`: no byte was sent, since the replica may have left while its connection was made. `complete`: the whole answer came. `dropped`: this side gave the attempt up.
+`notSent`: no byte of the call can have reached the replica. `refused`: the replica states that it has not run the call. `misdirected`: the address belongs to another replica. `silent`, `cutOff` and `lost`: only the replica knows whether the call ran; `silent` means that the inactivity time-out expired, `cutOff` that the replica can no longer be reached. `outdated`: no byte was sent, because the replica may have left while the connection was being made. `complete`: the complete answer was received. `dropped`: the attempt was disposed of by this process.
 */
 export type AttemptEnd
 	= | {readonly kind: 'notSent'; readonly reason: string}
@@ -47,25 +47,25 @@
 		| {readonly kind: 'complete'}
 		| {readonly kind: 'dropped'};
 
-/** Hears of an attempt: a head, bytes, an end, in this order; `onEnd` exactly once. */
+/** Receives the events of an attempt: head, bytes and end, in this order; `onEnd` is called exactly once. */
 export type AttemptListener = {
 	onHead(head: AnswerHead): void;
 	onBytes(bytes: Buffer): void;
 	onEnd(end: AttemptEnd): void;
 };
 
-/** How long an attempt waits, in milliseconds. */
+/** When an attempt is aborted for lack of data. */
 export type AttemptTimeouts = {
-	/** From when the request was sent on, without a byte. */
+	/** Milliseconds without a byte, counted from when the request was sent. */
 	readonly silenceMs: number;
-	/** Whether the call can go on elsewhere, so that nothing is gained by waiting for a replica that cannot be reached. Any other call waits: its replica's answer may still come. */
+	/** Whether the call can continue at another replica, so that nothing is gained by waiting for one that cannot be reached. Any other call waits: its replica's answer may still arrive. */
 	readonly canGoElsewhere: boolean;
 };
 
-/** What an attempt uses of a connection. */
+/** The part of a replica's connection that an attempt uses. */
 export type AttemptConnection = Pick<ReplicaConnection, 'isNew' | 'dispatch' | 'wasReset' | 'release' | 'discard' | 'closeIdleSiblings'>;
 
-/** What an attempt is made of. */
+/** Dependencies and parameters of an attempt. */
 export type AttemptParts = {
 	readonly connection: AttemptConnection;
 	readonly reachability: AttemptReachability;
@@ -74,26 +74,26 @@
 	readonly message: CallMessage;
 	readonly fields: AttemptFields;
 	readonly timeouts: AttemptTimeouts;
-	/** Whether the replica may still be sent work; asked once more when its connection has been made. */
+	/** Whether the replica may still be sent work; checked again once a new connection has been made. */
 	readonly isEligible: () => boolean;
 	readonly listener: AttemptListener;
 };
 
 const misdirectedStatus = 421;
 
-/** Of a limit of silence, this part must be time in which this process ran; the rest may have passed in pauses, in which the replica could answer. */
+/** Share of the inactivity time-out in which this process must have been running. The rest may have passed in pauses of the process, during which the replica could have answered. */
 const leastRunningShare = 1 / 2;
 
 const textOf = (headers: unknown): string[] => (headers as readonly Buffer[]).map(String);
 
-/** See the module's head. */
+/** A single attempt: started once, and over after its listener's `onEnd`. */
 export class Attempt implements Disposable {
 	readonly #parts: AttemptParts;
 	#timer: NodeJS.Timeout | undefined;
 	#silenceTimer: NodeJS.Timeout | undefined;
-	/** Without a byte, in milliseconds of running time; counted in steps, when the timer fires. */
+	/** Milliseconds without a byte while this process was running; counted in steps, when the timer fires. */
 	#silentMs = 0;
-	/** Since when there was no byte, in milliseconds on the monotonic clock. */
+	/** When the last byte arrived, in milliseconds on the monotonic clock. */
 	#silentSince = 0;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isSent = false;
@@ -109,11 +109,11 @@
 		return this.#isOver;
 	}
 
-	/** Sends. The end may be told before this returns. */
+	/** Sends the request. `onEnd` may be called before this returns. */
 	start(): void {
 		const connectMs = Math.round(this.#parts.reachability.connectTimeoutMs);
 		this.#timer = setTimeout(() => {
-			// After a pause of this process, the connection may have been made and not been looked at yet: timers come before sockets.
+			// After a pause of this process, the connection may have been made but not been handled yet: the event loop runs timers before sockets.
 			setImmediate(() => {
 				if (!this.#isSent) {
 					this.#giveUp({kind: 'notSent', reason: `no connection within ${connectMs} ms`});
@@ -123,7 +123,7 @@
 		this.#send();
 	}
 
-	/** Reads no more until `resume`, so that a slow caller does not fill this process's memory. */
+	/** Stops reading until `resume`, so that a slow caller does not fill this process's memory. */
 	pause(): void {
 		this.#controller?.pause();
 		clearTimeout(this.#silenceTimer);
@@ -157,7 +157,7 @@
 			onRequestStart: controller => {
 				if (isNew && !this.#parts.isEligible()) {
 					this.#giveUp({kind: 'outdated'});
-					controller.abort(new Error('the replica may have left'));
+					controller.abort(new Error('the replica may have left while the connection was being made'));
 					return;
 				}
 
@@ -201,7 +201,7 @@
 		const stepMs = canGoElsewhere ? Math.min(suspectMs, silenceMs) : silenceMs;
 		this.#silenceTimer = setTimeout(() => {
 			this.#silentMs += stepMs;
-			// What came within a pause of this process is looked at first.
+			// Data that arrived during a pause of this process is handled first.
 			setImmediate(() => {
 				this.#onSilence();
 			});
@@ -243,7 +243,7 @@
 		this.#noteBytes();
 		const fields = this.#parts.dialect.readAnswer(status, headers);
 		if (!this.#isOwnAnswer(fields)) {
-			// A replica may send a second answer late, where the next one is due. The connection's answers no longer match its requests.
+			// A replica may send a second answer late, in the place of the next one. From then on, the connection's answers no longer match its requests.
 			this.#giveUp({kind: 'lost', reason: 'the answer belongs to another call'});
 			return;
 		}
@@ -297,7 +297,7 @@
 		}
 	}
 
-	/** Only the way in which the connection ended tells whether an answer without a length is whole. */
+	/** Whether an answer without a length is complete shows only in the way in which its connection ended. */
 	async #endUnframed() {
 		const wasReset = await this.#parts.connection.wasReset();
 		if (this.#isOver) {
@@ -326,7 +326,7 @@
 			return;
 		}
 
-		// Closing the connection fails the request, and the failure is told at once: the end must have been decided by then, or it would be told twice and the call sent on twice.
+		// Closing the connection fails the request, and that failure is reported synchronously. The attempt must be marked as over before, or its end would be reported twice and the call be retried twice.
 		this.#isOver = true;
 		const {connection} = this.#parts;
 		connection.discard();
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -1,38 +1,38 @@
 /**
-What a caller gets: the answer of a replica, passed on as it comes or held back until it is whole, or an answer of the gateway's own.
+Writes the answer of one call to its caller: a replica's answer, forwarded as it arrives or buffered until it is complete, or an answer of the gateway itself.
 
-An answer of a call that may be repeated is held back where it is short, so that a break within it is mended by another run unnoticed; of a stream that can be resumed whole events are passed on, and a later run goes on behind the last one. Everything else is passed on byte for byte, and after its first byte only a broken connection tells the caller that the rest will not come.
+A short answer of a repeatable call is buffered, so that another run can replace it unnoticed if it breaks off. Of a resumable stream only complete events are forwarded, and a later run continues after the last one. Everything else is forwarded byte for byte; after its first byte, only a broken connection tells the caller that the rest will not follow.
 
-Each run's answer is judged by its own head: the caller keeps the head of the first run of which it has got anything, and a later run can only add events to that.
+Each run's answer is judged by its own head: the caller keeps the head of the first run of which it received anything, and later runs can only add events to that answer.
 */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import type {AnswerHead, Attempt} from './attempt.js';
 import {EventFramer, isEventStream, EventBoundaryTracker} from './event-framer.js';
 
-/** How a call's answer is passed on. */
+/** What determines how a call's answer is forwarded. */
 export type PassingRules = {
-	/** Whether another run may follow one that broke. */
+	/** Whether another run may follow one that broke off. */
 	readonly isRepeatable: boolean;
 	/** Whether the answer is a series of events. */
 	readonly isStream: boolean;
-	/** The last event that the caller has already. */
+	/** Id of the last event that the caller received in an earlier call. */
 	readonly lastEventId?: number;
 };
 
 /**
-How the bytes of one run's answer are passed on. `held`: once the answer is whole. `events`: whole events, which a later run may go on behind. `stream`: events that no other run may follow, as they come. `bytes`: as they come. `none`: not at all, since the caller has part of an answer that they do not belong to.
+How the bytes of one run's answer are forwarded. `held`: buffered until the answer is complete. `events`: complete events only, so that a later run may continue after them. `stream`: events as they arrive, without a later run. `bytes`: as they arrive. `none`: discarded, because the caller has part of an answer that they do not belong to.
 */
 type Passing = 'held' | 'events' | 'stream' | 'bytes' | 'none';
 
-/** An answer is held back if it is no longer than this, in bytes. */
+/** The longest answer that is buffered, in bytes. */
 const maxHeldBytes = 65_536;
 
 const hopByHop = ['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'te', 'trailer', 'upgrade'];
 
 const notPassedOn = new Set(hopByHop);
 
-/** The length is that of one run, and other runs may end the stream. */
+/** `content-length` is the length of one run's answer, and another run may complete the stream. */
 const notPassedOnOfEvents = new Set([...hopByHop, 'content-length']);
 
 const withoutHeaders = (rawHeaders: readonly string[], names: ReadonlySet<string>): string[] => rawHeaders.filter((_, i) => {
@@ -42,14 +42,14 @@
 
 const empty: Buffer = Buffer.alloc(0);
 
-/** See the module's head. */
+/** The answer of one call, over all its runs. */
 export class CallerAnswer {
 	readonly #res: ServerResponse;
 	readonly #isRepeatable: boolean;
 	readonly #isStream: boolean;
 	readonly #framer: EventFramer;
 	readonly #streamEnd = new EventBoundaryTracker();
-	/** What the caller has got, or is to get unless another run begins before. */
+	/** The head that was sent to the caller, or that will be unless another run starts first. */
 	#head: AnswerHead | undefined;
 	#passing: Passing = 'none';
 	#held: Buffer[] = [];
@@ -68,7 +68,7 @@
 		none: () => empty,
 	};
 
-	/** Whether an answer that has ended in order is whole. */
+	/** Whether an answer that ended without an error is complete. */
 	readonly #wholeness: Readonly<Record<Passing, () => boolean>> = {
 		held: () => true,
 		events: () => !this.#framer.hasPartialEvent,
@@ -84,32 +84,32 @@
 		this.#framer = new EventFramer(lastEventId);
 	}
 
-	/** Whether the caller has got anything. */
+	/** Whether anything was sent to the caller. */
 	get hasBegun(): boolean {
 		return this.#res.headersSent;
 	}
 
-	/** Whether another run can bring what the caller lacks. */
+	/** Whether another run can supply the rest of the answer. */
 	get canResume(): boolean {
 		return !this.hasBegun || (this.#isResumable && this.#framer.isNumbered);
 	}
 
-	/** The last event that the caller has, where a stream can be resumed. */
+	/** Id of the last event that was sent to the caller; `undefined` unless the call is a resumable stream. */
 	get lastEventId(): number | undefined {
 		return this.#isStream && this.#isRepeatable ? this.#framer.lastId : undefined;
 	}
 
-	/** False once an event of a stream that can be resumed was missing or came twice. */
+	/** False once an event of a resumable stream was missing or duplicated. */
 	get isInOrder(): boolean {
 		return this.#passing !== 'events' || this.#framer.isInOrder;
 	}
 
-	/** Whether the run that has ended in order makes the caller's answer whole. It does not if it ended within an event, or if the caller has part of a stream and the run answered something else. */
+	/** Whether the run that ended without an error completes the caller's answer. It does not if it ended within an event, or if the caller has part of a stream and the run answered something else. */
 	get isComplete(): boolean {
 		return this.#wholeness[this.#passing]();
 	}
 
-	/** Takes the head of a run's answer. Of a later run of a stream the caller keeps the head of the first. */
+	/** Starts the answer of a run. Once anything was sent to the caller, the head of the run that it came from stays. */
 	begin(head: AnswerHead): void {
 		this.#held = [];
 		if (this.hasBegun) {
@@ -122,7 +122,11 @@
 		this.#passing = this.#passingOf(head);
 	}
 
-	/** @param source - Paused while the caller does not read. */
+	/**
+	Forwards or buffers bytes of the run's answer.
+
+	@param source - Paused while the caller does not read.
+	*/
 	forward(bytes: Buffer, source: Attempt | undefined): void {
 		const passed = this.#takers[this.#passing](bytes);
 		if (passed.length > 0) {
@@ -130,13 +134,13 @@
 		}
 	}
 
-	/** Forgets what the caller has not got of a run that broke off. */
+	/** Discards what was not yet sent to the caller of a run that broke off. */
 	discardUnsent(): void {
 		this.#framer.discardRemainder();
 		this.#held = [];
 	}
 
-	/** The run's answer is whole. */
+	/** Sends what is buffered and ends the answer; called when the run's answer is complete. */
 	finish(): void {
 		this.#writeHead();
 		this.#held.forEach(bytes => {
@@ -145,13 +149,13 @@
 		this.#res.end(this.#passing === 'events' ? this.#framer.remainder : empty);
 	}
 
-	/** Answers without a body, by the gateway itself. */
+	/** Sends an answer of the gateway itself, without a body. */
 	reply(status: number, headers: Readonly<Record<string, string>> = {}): void {
 		this.#res.writeHead(status, {...headers, 'content-length': '0'});
 		this.#res.end();
 	}
 
-	/** Breaks the connection, so that what the caller has can not be taken for whole. To a caller of HTTP/1.0, which knows no chunks, an ordinary end of the connection ends an answer. */
+	/** Breaks the connection, so that the caller cannot take what it has for a complete answer. To a caller of HTTP/1.0, which has no chunked encoding, an ordinary close of the connection marks the end of an answer, so the connection is reset. */
 	cut(): void {
 		if (this.#res.req.httpVersion === '1.0') {
 			this.#res.socket?.resetAndDestroy();
@@ -160,7 +164,7 @@
 		this.#res.destroy();
 	}
 
-	/** Whether what the caller gets are events behind which a later run may go on. */
+	/** Whether the caller is sent events that a later run may continue. */
 	get #isResumable(): boolean {
 		return this.#isRepeatable && this.#hasEvents;
 	}
--- a/src/gateway/config-board.ts
+++ b/src/gateway/config-board.ts
@@ -1,5 +1,5 @@
 /**
-The configuration that this process acts on: the part of the blackboard that the configuration's follower writes and every request reads. It never goes back: an answer of the object API may overtake another or come from a copy that lags, and a caller must not see an older version act after a newer one has.
+The configuration in force in this process: the part of the blackboard that the configuration controller writes and every request reads. Its version never decreases. An answer of the object API may overtake another or come from a lagging copy of the store, and callers must not see an older version in effect after a newer one.
 */
 import {EventEmitter} from 'node:events';
 import {AccountTable} from './accounts/account-table.js';
@@ -8,7 +8,7 @@
 } from './types.js';
 import {RouteTable} from './route-table.js';
 
-/** Holds the newest configuration that was seen. */
+/** Holds the newest configuration that was received, with lookup tables derived from it. */
 export class ConfigBoard {
 	readonly #events = new EventEmitter();
 	#config: GatewayConfig | undefined;
@@ -17,7 +17,7 @@
 	#accounts: AccountTable | undefined;
 	#rateLimits: ReadonlyMap<ClientAccountName, RateLimit | undefined> = new Map();
 
-	/** `undefined` until the first configuration has come: such a process must not say that a route does not exist. */
+	/** `undefined` until the first configuration was received; until then, the process must not answer that a route does not exist. */
 	get config(): GatewayConfig | undefined {
 		return this.#config;
 	}
@@ -26,12 +26,12 @@
 		return this.#routes;
 	}
 
-	/** `undefined` while operators have declared no accounts: calls need no key then. */
+	/** `undefined` while operators have declared no accounts; calls need no key then. */
 	get accounts(): AccountTable | undefined {
 		return this.#accounts;
 	}
 
-	/** Whether jobs may be submitted, and so be read, without a key. */
+	/** Whether jobs may be submitted, and therefore read, without a key. */
 	get hasAnonymousJobs(): boolean {
 		return this.#config?.routes.some(({kind, isAnonymous}) => kind === 'batch' && isAnonymous) ?? false;
 	}
@@ -44,7 +44,7 @@
 		return this.#services.get(name);
 	}
 
-	/** @returns Whether it is newer than what was known, and so in force now. */
+	/** @returns Whether the configuration is newer than the current one, and therefore now in force. */
 	applyIfNewer(config: GatewayConfig): boolean {
 		if (this.#config && config.version <= this.#config.version) {
 			return false;
@@ -59,7 +59,7 @@
 		return true;
 	}
 
-	/** Calls the listener with each configuration as it comes in force. */
+	/** Calls the listener with each configuration that comes into force. */
 	onChange(listener: (config: GatewayConfig) => void): void {
 		this.#events.on('change', listener);
 	}
--- a/src/gateway/config-controller.ts
+++ b/src/gateway/config-controller.ts
@@ -1,5 +1,5 @@
 /**
-Brings the operators' configuration from the object API onto the blackboard.
+Copies the operators' configuration from the object API to the blackboard, and logs which version is in force and what of it cannot be read. A configuration that cannot be read leaves the previous one in force.
 */
 import type {EventLog} from '../common/services.js';
 import type {ConfigBoard} from './config-board.js';
@@ -8,7 +8,7 @@
 import type {RecordReaders} from './record-readers.js';
 import type {GatewayConfig} from './types.js';
 
-/** What the controller reads and writes. */
+/** Dependencies of the controller. */
 export type ConfigControllerParts = {
 	readonly board: ConfigBoard;
 	readonly feed: ObjectFeed;
@@ -16,7 +16,7 @@
 	readonly log: EventLog;
 };
 
-/** See the module's head. */
+/** Subscribes to the feed on construction. */
 export class ConfigController {
 	readonly #parts: ConfigControllerParts;
 
--- a/src/gateway/event-framer.steps.ts
+++ b/src/gateway/event-framer.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for streams that are cut into pieces, without a network.
+Steps for streams that are split into chunks, without a network.
 */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -8,7 +8,7 @@
 import type {TestWorld} from '../common/testing/test-world.js';
 import {EventFramer, EventBoundaryTracker} from './event-framer.js';
 
-/** What came of one stream. */
+/** One stream and what was forwarded of it. */
 type FramedStream = {
 	readonly sent: string;
 	readonly passedOn: string;
@@ -38,12 +38,12 @@
 
 const placesIn = (text: string): number[] => Array.from({length: text.length}, (_, i) => i + 1);
 
-When('a stream with line ends {string} is cut into two pieces at any place', function (this: FramerWorld, lines: string) {
+When('a stream with line ends {string} is split into two chunks at any offset', function (this: FramerWorld, lines: string) {
 	const stream = streamWith(lines);
 	this.streams = placesIn(stream).map(at => fedTo(new EventFramer(0), [stream.slice(0, at), stream.slice(at)]));
 });
 
-When('a stream with line ends {string} stops within its last event, at any place', function (this: FramerWorld, lines: string) {
+When('a stream with line ends {string} stops within its last event, at any offset', function (this: FramerWorld, lines: string) {
 	const [lastLength, blankLine] = [events.at(-1)!.replaceAll('|', lineEndOf(lines)).length, lineEndOf(lines).length];
 	const stream = streamWith(lines);
 	this.streams = placesIn(stream)
@@ -51,7 +51,7 @@
 		.map(length => fedTo(new EventFramer(0), [stream.slice(0, length)]));
 });
 
-Then('all its bytes are passed on in order each time', function (this: FramerWorld) {
+Then('all its bytes are forwarded in order each time', function (this: FramerWorld) {
 	assert.deepEqual(this.streams.map(({passedOn}) => passedOn), this.streams.map(({sent}) => sent));
 });
 
@@ -65,7 +65,7 @@
 	assert.deepEqual(this.streams.filter(({isWithinEvent}) => !isWithinEvent), []);
 });
 
-When('an event of {int} MB comes in pieces of {int} kB and is {word}', function (this: FramerWorld, megabytes: number, kilobytes: number, passing: 'held' | 'followed') {
+When('an event of {int} MB arrives in chunks of {int} kB and is {word}', function (this: FramerWorld, megabytes: number, kilobytes: number, passing: 'held' | 'followed') {
 	const piece = Buffer.alloc(kilobytes * 1024, 'a');
 	const taker = passing === 'held' ? new EventFramer(0) : new EventBoundaryTracker();
 	const before = process.cpuUsage();
@@ -76,6 +76,6 @@
 	this.spentMs = (user + system) / 1000;
 });
 
-Then('that has taken less than {int} ms of processor time', function (this: FramerWorld, mostMs: number) {
+Then('processing it has taken less than {int} ms of processor time', function (this: FramerWorld, mostMs: number) {
 	assert.ok(this.spentMs < mostMs, `${this.spentMs} ms`);
 });
--- a/src/gateway/event-framer.ts
+++ b/src/gateway/event-framer.ts
@@ -1,5 +1,5 @@
 /**
-Cuts a stream of server-sent events at event boundaries, without changing a byte. A caller must never see the head of an event from one run and its tail from another, so a stream that may be taken up again passes on whole events only, and remembers the last one.
+Splits a stream of server-sent events at event boundaries, without changing a byte. A caller must never receive the head of an event from one run and its tail from another, so only complete events of a resumable stream are forwarded, and the id of the last one is recorded.
 */
 import {Buffer} from 'node:buffer';
 import type {AnswerHead} from './attempt.js';
@@ -10,14 +10,14 @@
 
 const plainEncoding = 'identity';
 
-/** Whether an answer is a stream of events that can be read; those of an encoded one can not. */
+/** Whether an answer is a readable stream of events; a compressed stream is not. */
 export const isEventStream = ({status, headers}: Pick<AnswerHead, 'status' | 'headers'>): boolean => {
 	const type = String(headers['content-type'] ?? '').toLowerCase();
 	const encoding = String(headers['content-encoding'] ?? plainEncoding).toLowerCase();
 	return status === okStatus && type.startsWith(eventsType) && encoding === plainEncoding;
 };
 
-/** Blank lines, by the line ends that servers use: the end of the line before, and their own. */
+/** Blank lines in each of the line-end conventions: the end of the preceding line, followed by their own. */
 const boundaries = ['\n\n', '\n\r\n', '\r\r'];
 
 const betweenEvents = /\n\n|\n\r\n|\r\r/v;
@@ -26,34 +26,34 @@
 
 const allIds = new RegExp(idPattern, 'gmv');
 
-/** A line, or the beginning of one, that is neither blank nor a comment. */
+/** A line, or the start of one, that is neither blank nor a comment. */
 const fieldPattern = /^[^:\r\n]/mv;
 
 const dataPattern = /^data/mv;
 
 const empty: Buffer = Buffer.alloc(0);
 
-/** Where the last whole event ends; 0 if none does. */
+/** Offset of the end of the last complete event; 0 if there is none. */
 const endOfEvents = (bytes: Buffer | string): number => Math.max(...boundaries.map(boundary => {
 	const at = bytes.lastIndexOf(boundary);
 	return at === -1 ? 0 : at + boundary.length;
 }));
 
-/** Whether these are the bytes of one event, as they usually come; it spares the search for others. */
+/** Whether the text is exactly one event, which is the usual case and saves the search for others. */
 const isOneEvent = (text: string): boolean => text.indexOf('\n\n') === text.length - 2;
 
-/** The numbers of the events in the text, in their order. */
+/** The ids of the events in the text, in order. */
 const numbersIn = (text: string): number[] => {
 	const matches = isOneEvent(text) ? [idPattern.exec(text)] : [...text.matchAll(allIds)];
 	return matches.filter(match => match !== null).map(({groups}) => Number(groups?.id));
 };
 
-/** A blank line and the end of the line before have this many bytes at most, so one that is cut in two begins among as many but one. */
+/** A boundary has at most three bytes, so one that is split between two chunks starts within the last two bytes of the first. */
 const seamLength = 2;
 
-/** Follows a stream that is passed on as it comes, and keeps a few bytes of it. */
+/** Tracks whether a stream that is forwarded as it arrives is within an event; retains a few bytes of it. */
 export class EventBoundaryTracker {
-	/** What has come after the last whole event, shortened to what tells how it goes on. */
+	/** What arrived after the last complete event, abridged to what determines how the next bytes are read. */
 	#rest = '';
 
 	/** Whether the stream so far ends within an event. */
@@ -61,7 +61,7 @@
 		return fieldPattern.test(this.#rest);
 	}
 
-	/** Takes the next bytes. */
+	/** Processes the next bytes. */
 	feed(bytes: Buffer): void {
 		const all = this.#rest + bytes.toString('latin1');
 		const rest = all.slice(endOfEvents(all));
@@ -69,60 +69,60 @@
 	}
 }
 
-/** The first character of a field or a comment, and the line ends after it. */
+/** Stands in for a longer text: one character for a field or for a comment, then the line ends at the end of the text. */
 const shortened = (rest: string): string => (fieldPattern.test(rest) ? 'd' : ':') + rest.slice(-seamLength).replace(/^[\s\S]*[^\r\n]/v, '');
 
-/** Follows one stream over all its runs. */
+/** Splits one stream across all its runs. */
 export class EventFramer {
 	readonly #firstId: number;
-	/** What has come after the last whole event, in its pieces: put together with each of them, an event of many would cost the square of its length. */
+	/** Chunks that arrived after the last complete event. Joining them on each arrival would make the cost of an event of many chunks quadratic in its length. */
 	#rest: Buffer[] = [];
-	/** The last bytes of that, as far as a blank line may have begun there. */
+	/** The last bytes of these chunks, in which a boundary may have started. */
 	#seam: Buffer = empty;
 	#lastId: number;
 	#isInOrder = true;
 	#isNumbered = true;
-	/** Whether it is known that the run under way goes on where the caller stopped. */
+	/** Whether the current run is known to continue where the caller's events end. */
 	#isPlaced = true;
 
-	/** @param lastId - The last event that the caller has already. */
+	/** @param lastId - Id of the last event that the caller has already. */
 	constructor(lastId: number) {
 		this.#firstId = lastId;
 		this.#lastId = lastId;
 	}
 
-	/** The id of the last event that was passed on. */
+	/** The id of the last event that was forwarded. */
 	get lastId(): number {
 		return this.#lastId;
 	}
 
-	/** False once an event was missing or came twice; what followed was held back. */
+	/** False once an event was missing or duplicated; everything from then on is held back. */
 	get isInOrder(): boolean {
 		return this.#isInOrder;
 	}
 
-	/** Whether all events so far bore a number, so that it is known where another run has to go on. */
+	/** Whether all events so far had a numeric id, so that it is known where another run has to continue. */
 	get isNumbered(): boolean {
 		return this.#isNumbered;
 	}
 
-	/** What has come after the last whole event. */
+	/** The bytes that arrived after the last complete event. */
 	get remainder(): Buffer {
 		return Buffer.concat(this.#rest);
 	}
 
-	/** Whether part of an event is held back. Blank lines and comments at the end of a stream are none. */
+	/** Whether part of an event is held back. Blank lines and comments at the end of a stream do not count. */
 	get hasPartialEvent(): boolean {
 		return fieldPattern.test(this.remainder.toString('latin1'));
 	}
 
-	/** Another run goes on. Only its first number shows where, so what comes before that is held back. */
+	/** Starts the next run. Only its first id shows where it continues, so bytes before that are held back. */
 	startNextRun(): void {
 		this.discardRemainder();
 		this.#isPlaced = this.#lastId === this.#firstId;
 	}
 
-	/** @returns The bytes up to the end of the last whole event; may be empty. */
+	/** @returns The bytes up to the end of the last complete event; may be empty. */
 	feed(bytes: Buffer): Buffer {
 		const searched = this.#seam.length > 0 ? Buffer.concat([this.#seam, bytes]) : bytes;
 		const end = endOfEvents(searched);
@@ -139,7 +139,7 @@
 		return this.#isInOrder ? whole : empty;
 	}
 
-	/** Forgets part of an event: its run has ended, and the next begins with the event anew. */
+	/** Discards a partial event: its run has ended, and the next one starts with that event again. */
 	discardRemainder(): void {
 		this.#keepRest(empty);
 	}
--- a/src/gateway/feed-freshness.steps.ts
+++ b/src/gateway/feed-freshness.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the freshness of objects, with a feed that the steps answer for and a clock that they set.
+Steps for the freshness of objects, with a fake feed and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {EventEmitter, once} from 'node:events';
@@ -18,7 +18,7 @@
 	awayAt: number | undefined;
 	revision: Revision | undefined;
 	reads: number;
-	/** What the next reads come to. */
+	/** Outcome of the next reads. */
 	read: () => Promise<boolean>;
 	answers: EventEmitter;
 	/** Answers the read that was not answered in time. */
@@ -61,7 +61,7 @@
 	maxAgeMs: mostAgeMs,
 });
 
-Given('objects that were confirmed just now', function (this: FreshnessWorld) {
+Given('objects that were just confirmed', function (this: FreshnessWorld) {
 	this.now = 10_000;
 	this.freshAt = this.now;
 	this.awayAt = undefined;
@@ -76,7 +76,7 @@
 	this.freshness = freshnessOf(this);
 });
 
-Given('no objects are known', function (this: FreshnessWorld) {
+Given('no objects were read yet', function (this: FreshnessWorld) {
 	this.revision = undefined;
 	this.freshAt = -Infinity;
 });
@@ -101,7 +101,7 @@
 
 const list = async () => Right({items: [], version: revision, more: false});
 
-Given('a feed whose list was read {int} ms after it was asked for', async function (this: FreshnessWorld, ms: number) {
+Given('a feed whose list was read {int} ms after it was requested', async function (this: FreshnessWorld, ms: number) {
 	feedWith(this, {
 		list: async () => {
 			this.now += ms;
@@ -109,7 +109,7 @@
 		},
 		watch: async () => never,
 	});
-	await until(() => this.feed.revision !== undefined, 'the list is known');
+	await until(() => this.feed.revision !== undefined, 'the list was read');
 });
 
 Given('a feed whose watch was answered, with the sockets last read {int} ms ago', async function (this: FreshnessWorld, ms: number) {
@@ -175,7 +175,7 @@
 	await failOnce(this);
 });
 
-When('a call waits for a read that fails, and meanwhile the read before is answered, and the object API answers another call', async function (this: FreshnessWorld) {
+When('a call waits for a read that fails, and meanwhile the previous read is answered, and the object API answers another call', async function (this: FreshnessWorld) {
 	await failOnce(this, this.answerLate);
 });
 
@@ -203,6 +203,6 @@
 	assert.ok(this.waitedMs >= least && this.waitedMs <= most, String(this.waitedMs));
 });
 
-Then('what it knows is {int} ms old', function (this: FreshnessWorld, ms: number) {
+Then('its objects are {int} ms old', function (this: FreshnessWorld, ms: number) {
 	assert.equal(this.now - this.feed.currentAsOf, ms);
 });
--- a/src/gateway/feed-freshness.ts
+++ b/src/gateway/feed-freshness.ts
@@ -1,5 +1,5 @@
 /**
-Bounds how old the objects of one kind may be when work is sent by them. A process that was paused, or whose connections to the object API went silent, knows so only by its clock: work waits until the objects have been read again, on a connection of its own. While the object API does not answer, work goes on by what was known before.
+Bounds the age of the cached objects of one kind by which work is dispatched. A process that was paused, or whose connections to the object API became unresponsive, can detect that only by its clock; work then waits until the objects have been read again, on a separate connection. While the object API does not answer, work continues with the cached objects.
 */
 import type {Clock, EventLog} from '../common/services.js';
 import type {ObjectKind} from '../common/types.js';
@@ -8,29 +8,29 @@
 import type {ObjectApiReachability} from './object-api-reachability.js';
 import type {ObjectFeed} from './object-feed.js';
 
-/** What the freshness is judged by. */
+/** Dependencies and parameters of a freshness check. */
 export type FeedFreshnessParts = {
 	readonly kind: ObjectKind;
 	readonly feed: ObjectFeed;
 	readonly reachability: ObjectApiReachability;
-	/** When the objects were last confirmed to be current, here or by a peer, in milliseconds on the monotonic clock. */
+	/** When the objects were last confirmed to be current, by this process or a peer, in milliseconds on the monotonic clock. */
 	readonly lastConfirmedAt: () => number;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** Milliseconds for which objects may be used after they were confirmed. */
+	/** Milliseconds for which the objects may be used after they were confirmed. */
 	readonly maxAgeMs: number;
 };
 
-/** Work waits for a read for this long at most, in milliseconds: most of the usual latency target. */
+/** The longest time that work waits for a read, in milliseconds: most of the usual latency target. */
 const waitMs = 250;
 
-/** See the module's head. */
+/** The freshness of the objects of one kind. */
 export class FeedFreshness {
 	readonly #parts: FeedFreshnessParts;
-	/** When a read was begun that was not answered in time: until the objects have aged again, no other one is waited for. */
+	/** When the last read started that was not answered in time. It counts as a confirmation, so that no other read is awaited until the maximum age has passed again. */
 	#triedAt = -Infinity;
 	#refresh: Promise<void> | undefined;
-	/** Reads again, while a read is waited for. */
+	/** Repeats the read; set while a read is awaited. */
 	#retry: (() => void) | undefined;
 
 	constructor(parts: FeedFreshnessParts) {
@@ -40,14 +40,14 @@
 		});
 	}
 
-	/** Whether work may be sent by the objects that are known. Before any is known, there is nothing to wait for. */
+	/** Whether work may be dispatched by the cached objects. True before the first list was read, when there is nothing to wait for. */
 	get isFresh(): boolean {
 		const {feed, reachability: contact, lastConfirmedAt: freshAt, clock, maxAgeMs: mostAgeMs} = this.#parts;
 		const judgedAt = Math.max(freshAt(), contact.lastFailedCallAt ?? -Infinity, this.#triedAt);
 		return feed.revision === undefined || clock.now() - judgedAt <= mostAgeMs;
 	}
 
-	/** Reads the objects again. Resolves once they are known, or cannot be in time; callers share one read. */
+	/** Reads the objects again. Resolves once they were read or the wait has timed out; concurrent callers share one read. */
 	async refresh(): Promise<void> {
 		this.#refresh ??= this.#read().finally(() => {
 			this.#refresh = undefined;
@@ -69,7 +69,7 @@
 		});
 	}
 
-	/** A read that failed is repeated as soon as the object API answers any call. */
+	/** Repeats a failed read as soon as the object API answers any call. */
 	async #isReadInTime(): Promise<boolean> {
 		return new Promise(resolve => {
 			let isOver = false;
--- a/src/gateway/front-server.ts
+++ b/src/gateway/front-server.ts
@@ -1,5 +1,5 @@
 /**
-Takes callers' connections and hands each call to what serves its route: an online call to a replica, a batch job to the intake, a question about a job to its reader.
+The HTTP server for callers. It admits each call by its route, API key and rate limit, and dispatches it: an online call to a replica, a batch job to the intake, a request about a job to the job reader.
 */
 import {Buffer} from 'node:buffer';
 import {
@@ -26,36 +26,38 @@
 import type {GatewayParts} from './parts.js';
 import type {BatchJobId, CallFields, GatewayRoute} from './types.js';
 
-/** What the server hands calls to. */
+/** Dependencies of the server. */
 export type FrontServerParts = GatewayParts & {
 	readonly intake: JobIntake;
 	readonly reader: JobReader;
 	readonly jobCalls: JobCallDialect;
 	readonly gate: CallerGate;
-	/** Of the configuration. */
+	/** Freshness of the configuration. */
 	readonly configFreshness: FeedFreshness;
 };
 
-/** Callers reuse a connection that has been idle for a good part of the configured time; it is kept this much longer than that, so that no call crosses the close. */
+/** Multiple of the configured idle time for which a connection is kept alive. Callers reuse connections that were idle for most of the configured time, and a call must not cross the close of its connection. */
 const idleFactor = 2;
 
-/** Until a configuration says otherwise, in milliseconds. */
+/** Keep-alive time until a configuration was received, and the least at any time; in milliseconds. */
 const defaultIdleMs = 60_000;
 
-/** A body that no configuration bounds yet may not fill this process's memory, in bytes. */
+/** Bound on a body until a configuration was received, so that it cannot fill this process's memory; in bytes. */
 const defaultBodyBytes = 4_194_304;
 
-/** The largest head of a call that Node reads, in bytes; the configured bound may be lower. */
+/** The largest request head that Node.js reads, in bytes; the configured bound may be lower. */
 const maxHeaderBytes = 65_536;
 
-/** When to come back, in milliseconds: a process that has just started knows the configuration within a second. */
+/** `retry-after` of a process without a configuration, in milliseconds; it receives one within a second of its start. */
 const notReadyMs = 500;
+/** `retry-after` of a job over the quota of waiting tokens, in milliseconds. */
 const quotaMs = 1000;
+/** `retry-after` of a job that cannot be stored because the object API is unavailable, in milliseconds. */
 const awayMs = 700;
 
 type JobAnswers = Readonly<Record<SubmissionOutcome, {readonly status: number; readonly comeBackMs?: number}>>;
 
-/** 503 and 429 promise that nothing of the job will run; `uncertain` promises nothing. */
+/** 503 and 429 guarantee that nothing of the job will run; `uncertain` guarantees nothing. */
 const submissionAnswers: JobAnswers = {
 	accepted: {status: 202},
 	full: {status: 429, comeBackMs: quotaMs},
@@ -83,7 +85,7 @@
 
 type JobHandlers = {readonly [K in JobCall['kind']]: (call: Extract<JobCall, {kind: K}>, res: ServerResponse, caller: Caller) => Promise<void>};
 
-/** What is known of a call once its body has come. */
+/** A call whose body was received. */
 type ReceivedCall = {
 	readonly route: GatewayRoute;
 	readonly caller: AdmittedCaller;
@@ -91,7 +93,7 @@
 	readonly body: Buffer;
 };
 
-/** See the module's head. */
+/** Serves callers, from `listen` to `close`. */
 export class FrontServer implements Disposable {
 	readonly #parts: FrontServerParts;
 	readonly #server: Server;
@@ -139,13 +141,13 @@
 		});
 	}
 
-	/** `ip:port` that it listens on. */
+	/** `ip:port` that the server listens on. */
 	get address(): string {
 		const {address, port} = this.#server.address() as AddressInfo;
 		return formatAddress({host: address, port});
 	}
 
-	/** Calls under way. */
+	/** Number of online calls in progress. */
 	get activeCalls(): number {
 		return this.#calls.size;
 	}
@@ -163,12 +165,12 @@
 		});
 	}
 
-	/** Asks each caller to close its connection after its next answer. */
+	/** Asks each caller to close its connection after the next answer on it. */
 	disableKeepAlive(): void {
 		this.#isLeaving = true;
 	}
 
-	/** Takes no more connections, closes idle ones, and resolves once the last call has ended. */
+	/** Accepts no more connections, closes idle ones, and resolves once the last call has ended. */
 	async close(): Promise<void> {
 		this.#isLeaving = true;
 		const closed = new Promise<void>(resolve => {
@@ -251,7 +253,7 @@
 		answer(res, status, retryAfterMs === undefined ? undefined : Math.ceil(retryAfterMs));
 	}
 
-	/** Whose job it is cannot be told before the configuration is known. */
+	/** Answers 503 before a configuration was received, since the owner of a job cannot be determined without one. */
 	async #answerJobCall(call: JobCall, req: IncomingMessage, res: ServerResponse) {
 		const {board, gate} = this.#parts;
 		if (!board.config) {
@@ -273,7 +275,7 @@
 		return this.#parts.board.routes.match(req.headers.host ?? '', req.url ?? '');
 	}
 
-	/** A process that knows no configuration yet cannot tell that a route does not exist. */
+	/** Answers 404, or 503 before a configuration was received, since the process cannot know then that a route does not exist. */
 	#rejectUnrouted(req: IncomingMessage, res: ServerResponse) {
 		const {board, dialect, log} = this.#parts;
 		const status = board.config ? 404 : 503;
@@ -284,7 +286,7 @@
 		answer(res, status, status === 503 ? notReadyMs : undefined);
 	}
 
-	/** A caller that went away within its body hears nothing. */
+	/** Sends no answer to a caller that disconnected within its body. */
 	#rejectBody(res: ServerResponse, {kind}: BodyFailure) {
 		if (kind === 'tooLarge') {
 			res.shouldKeepAlive = false;
--- a/src/gateway/front.ts
+++ b/src/gateway/front.ts
@@ -1,5 +1,5 @@
 /**
-The composition root of `citronyard-front`: takes callers' calls, routes them to replicas, and runs batch jobs together with its peers. All fronts are equal, keep nothing on disk, and may stop at any moment.
+The composition root of `citronyard-front`, which accepts callers' calls, routes them to replicas, and runs batch jobs together with its peers. All fronts are equal, store nothing on disk, and may stop at any moment.
 */
 import {createServer, type Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -63,7 +63,7 @@
 import type {FrontSettings} from './settings.js';
 import type {CallDialect, MemberName} from './types.js';
 
-/** What the adapter to a platform brings. */
+/** What the adapter of a platform provides. */
 export type FrontAdapter = {
 	readonly api: ObjectApi;
 	readonly records: RecordReaders;
@@ -72,52 +72,52 @@
 	readonly itemHeaders: ItemHeaderBuilder;
 };
 
-/** What the frame of the programs brings. */
+/** Services that the program's entry point injects. */
 export type FrontServices = {
 	readonly log: EventLog;
 	readonly clock: Clock;
 	readonly random: RandomSource;
-	/** Log lines that were dropped since the start, because nobody read them. */
+	/** Number of log lines dropped since the start, because the output was not read. */
 	readonly droppedLines?: () => number;
 };
 
-/** Between two watches, and for the list that follows a lost one, in milliseconds. */
+/** Reserve for the time between two watches and for the list that follows a failed one, in milliseconds. */
 const catchUpMarginMs = 900;
 
-/** Kinds that are checked besides are watched for this long, in milliseconds. */
+/** Wait of one watch of the kinds that the shared checks read as well, in milliseconds. */
 const checkedWaitMs = 15_000;
 
-/** The shortest watch, in milliseconds: each is a call that counts. */
+/** Shortest wait of a watch, in milliseconds: each watch counts toward the rate of calls to the object API. */
 const leastWatchMs = 800;
 
-/** Replicas register one after the other when a fleet starts or is replaced: a watch for each would be a call for each, at every front. A change must be known within some seconds; in milliseconds. */
+/** Pause before the next watch of registrations, in milliseconds. Replicas register one after the other when a fleet starts or is replaced, and without a pause each would cost every front a call. A change must take effect within some seconds. */
 const registrationPaceMs = 200;
 const mostRegistrationPaceMs = 600;
 
-/** Records of jobs come many a second; what must be known sooner is asked for. In milliseconds. */
+/** Pause before the next watch of job records, in milliseconds. Many are written each second; what is needed sooner is read explicitly. */
 const recordPaceMs = 250;
 
-/** What is left of the time for a change when a silent watch has been given up, in milliseconds: the pauses before it and after it, and the read that follows. */
+/** Reserve within the time for a change after an unresponsive watch has timed out, in milliseconds: the pauses before and after it, and the read that follows. */
 const changeMarginMs = 500;
 
 /**
-A watch that went silent is noticed after its waiting time and the limit of a call; what it has missed must be in force in time all the same. Callers would otherwise be sent to a replica that has left, or by a route that has moved, for as long as a watch waits. So the processes read it besides, one for all, this often.
+Interval of the shared checks of one kind, in milliseconds. An unresponsive watch is detected only after its wait and the time-out of a call, but a change that it missed must still take effect in time: otherwise calls would go to a replica that has left, or by an outdated route, for as long as a watch waits. One process therefore reads the objects on behalf of all at this interval.
 
-@param changeMs - Within which a change must be in force.
+@param changeMs - Milliseconds within which a change must be in force.
 */
 const checkMs = ({catchUpMs, objectApi: {timeoutMs}}: FrontSettings, changeMs: number) =>
 	Math.max(leastWatchMs, Math.min(catchUpMs - timeoutMs - catchUpMarginMs, changeMs - timeoutMs - changeMarginMs));
 
-/** A call may be on its way to its replica for this long after it was sent, in milliseconds. */
+/** Longest time that a call takes to reach its replica after it was sent, in milliseconds. */
 const travelMs = 100;
 
-/** The stand-ins in line and the answer come on top of the time between two reads, in milliseconds. */
+/** Added to the time between two reads, in milliseconds: the delays of the processes that read when the first in line does not, and the time of the answer. */
 const checkMarginMs = 250;
 
 /**
-How old the objects may be by which work is sent, in milliseconds. Never so young that a read that is under way in its ordinary time would be waited for.
+Maximum age of the objects by which work is dispatched, in milliseconds. It is never so low that work would wait for a read that is in progress and on time.
 
-@param changeMs - Within which a change must be in force.
+@param changeMs - Milliseconds within which a change must be in force.
 */
 const mostAgeMs = (settings: FrontSettings, changeMs: number): number => Math.max(changeMs - travelMs, checkMs(settings, changeMs) + checkMarginMs);
 
@@ -130,18 +130,18 @@
 		},
 		BatchRecord: {waitMs, mayLag: true, paceMs: recordPaceMs},
 		Member: {waitMs: 4 * waitMs, mayLag: true},
-		// Peers tell each other first; the records are for those that start.
+		// Peers announce quarantined contents to each other sooner; the records are for processes that start.
 		Quarantine: {waitMs: 4 * waitMs, mayLag: true},
 	} as const satisfies Partial<Record<ObjectKind, FeedOptions>>;
 };
 
-/** The balancer asks once a second and takes a process out after two refusals; until then it sends new connections here, which are served. In milliseconds. */
+/** Time until the load balancer stops sending new connections, in milliseconds. It checks readiness once a second and removes a process after two refusals; connections until then are served. */
 const rotationMs = 2600;
 
-/** What is left of the time to shut down when requests under way are given up, in milliseconds: enough to write the last log lines. */
+/** Reserve of the shutdown time when requests in progress are aborted, in milliseconds: enough to write the last log lines. */
 const exitMarginMs = 400;
 
-/** See the module's head. */
+/** The front process. */
 export class Front implements RunningProgram {
 	readonly #settings: FrontSettings;
 	readonly #clock: Clock;
@@ -215,7 +215,7 @@
 		const quarantineFeed = feedOf('Quarantine');
 		this.#feeds = [configFeed, replicaFeed, recordFeed, memberFeed, quarantineFeed];
 
-		// eslint-disable-next-line no-new -- it lives by its listeners.
+		// eslint-disable-next-line no-new -- it subscribes to the feed, which keeps it alive.
 		new ConfigController({
 			board, feed: configFeed, records, log,
 		});
@@ -313,7 +313,7 @@
 		return {callers: this.#server.address, peers: this.#channel.address, ready: formatAddress({host: address, port})};
 	}
 
-	/** Listens, and begins to follow the object API. It may be ready some time later. */
+	/** Starts to listen and to follow the object API. The process may become ready some time later. */
 	async start(): Promise<Either<StartError, Front>> {
 		const {listen, readyListen, peerListen, metricsListen} = this.#settings;
 		const bound = [await this.#server.listen(listen), await this.#channel.listen(peerListen), await this.#rpcServer.listen(peerListen)];
@@ -345,7 +345,7 @@
 		return Right(this);
 	}
 
-	/** Leaves without cutting a call: jobs go to the peers at once, callers as their answers end. */
+	/** Shuts down gracefully: jobs are handed over to peers at once, and connections close as their answers end. Calls are cut off only when the shutdown time is over. */
 	async drain(): Promise<void> {
 		const startedAt = this.#clock.now();
 		this.#lifecycle.send('drain');
--- a/src/gateway/gateway-tables.steps.ts
+++ b/src/gateway/gateway-tables.steps.ts
@@ -75,7 +75,7 @@
 Given('a limit of {int} tokens', function (this: TablesWorld, limit: number) {
 	this.api = new FakeObjectApi();
 	this.limit = limit;
-	// This process is there from the first record on and sees each by itself.
+	// This process follows from the first record on and receives each one separately.
 	this.jobIndex = followed(this);
 });
 
@@ -103,7 +103,7 @@
 	await until(() => this.jobIndex.isKnown, 'the records are known');
 });
 
-When('the object API discards its history while the process is away', async function (this: TablesWorld) {
+When('the object API discards its history while the process cannot reach it', async function (this: TablesWorld) {
 	this.api.down = true;
 	await this.api.create('BatchRecord', 'ignored', {});
 	this.api.down = false;
@@ -129,8 +129,8 @@
 	await followerAdmits(this, names);
 });
 
-Then('a process that follows the records knows {int} result(s) of {string}', async function (this: TablesWorld, count: number, job: string) {
-	await until(() => this.jobIndex.job(jobId(job))?.pageCount === 2, 'both pages have come');
+Then('a process that follows the records has {int} result(s) of {string}', async function (this: TablesWorld, count: number, job: string) {
+	await until(() => this.jobIndex.job(jobId(job))?.pageCount === 2, 'both pages were received');
 	assert.equal(this.jobIndex.job(jobId(job))?.results.length, count);
 });
 
@@ -145,7 +145,7 @@
 	assert.ok(this.board.applyIfNewer(configOf(version)));
 });
 
-When('a copy that lags brings version {int}', function (this: TablesWorld, version: number) {
+When('a lagging copy returns version {int}', function (this: TablesWorld, version: number) {
 	assert.equal(this.board.applyIfNewer(configOf(version)), false);
 });
 
@@ -165,10 +165,10 @@
 		directory: this.directory, feed, records: replicaRecords, clock, log, drainMs: 2000,
 	}));
 	feed.start();
-	await until(() => this.directory.size === listOf(names).length, 'all replicas are known');
+	await until(() => this.directory.size === listOf(names).length, 'all replicas are listed');
 });
 
-When('the object API is away, and all registrations have lapsed when it is back', async function (this: TablesWorld) {
+When('the object API is unavailable, and all registrations have lapsed when it is back', async function (this: TablesWorld) {
 	this.api.down = true;
 	await new Promise(resolve => {
 		setTimeout(resolve, 700);
@@ -179,7 +179,7 @@
 	}
 
 	const calls = this.api.calls.watch;
-	await until(() => this.api.calls.watch > calls + 3, 'the front has looked again');
+	await until(() => this.api.calls.watch > calls + 3, 'the front has watched again');
 });
 
 When('the registration of {string} is removed', async function (this: TablesWorld, name: string) {
@@ -190,7 +190,7 @@
 	await this.api.create('Registration', name, registrationOf(name));
 });
 
-When('{string} joins, telling that it started at {int}', async function (this: TablesWorld, name: string, startedAt: number) {
+When('{string} registers with start time {int}', async function (this: TablesWorld, name: string, startedAt: number) {
 	await this.api.create('Registration', name, {...registrationOf(name), startedAt});
 });
 
@@ -199,28 +199,28 @@
 	await api.update('Registration', name, registrationOf(name), entry.version);
 };
 
-When('{string} writes its entry anew', async function (this: TablesWorld, name: string) {
+When('{string} renews its registration', async function (this: TablesWorld, name: string) {
 	await writeAnew(this, name);
 });
 
-When('the entry of {string} no longer tells a start', async function (this: TablesWorld, name: string) {
+When('the registration of {string} loses its start time', async function (this: TablesWorld, name: string) {
 	await writeAnew(this, name);
 });
 
-Then('the front still knows replicas {string}', function (this: TablesWorld, names: string) {
+Then('the front still lists replicas {string}', function (this: TablesWorld, names: string) {
 	assert.deepEqual(registeredReplicas(this.directory), listOf(names));
 });
 
-Then('the front soon knows replicas {string}', async function (this: TablesWorld, names: string) {
+Then('the front soon lists replicas {string}', async function (this: TablesWorld, names: string) {
 	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
 });
 
-Then('{int} seconds later the front knows replicas {string}', async function (this: TablesWorld, _seconds: number, names: string) {
+Then('{int} seconds later the front lists replicas {string}', async function (this: TablesWorld, _seconds: number, names: string) {
 	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
 });
 
-When('the time for which results are kept is over', async function (this: TablesWorld) {
-	await until(() => admitted(this.jobIndex).length === 2, 'both jobs are known');
+When('the retention time of results is over', async function (this: TablesWorld) {
+	await until(() => admitted(this.jobIndex).length === 2, 'both jobs were read');
 	this.removed = [];
 	this.api.beforeCall = (call, _kind, name) => {
 		if (call === 'remove') {
@@ -236,7 +236,7 @@
 			self, directory, loads, quarantine: new Quarantine({clock, log}), clock, log,
 		}),
 	}));
-	await until(() => this.jobIndex.job(jobId('a'))?.isOpen === false, 'all results of a are known');
+	await until(() => this.jobIndex.job(jobId('a'))?.isOpen === false, 'all results of a were read');
 	await retention.removeExpired();
 });
 
@@ -248,7 +248,7 @@
 	assert.equal(this.removed.at(-1), 'job-a');
 });
 
-Given('a front that heard {string} once, with {int} calls at {string}', async function (this: TablesWorld, peer: string, online: number, replica: string) {
+Given('a front that received one message of {string}, with {int} calls at {string}', async function (this: TablesWorld, peer: string, online: number, replica: string) {
 	this.directory = new ReplicaDirectory();
 	this.directory.put(registrationOf(replica));
 	this.loads = new LoadBoard();
@@ -271,7 +271,7 @@
 	assert.equal(this.directory.get(branded<ReplicaId>(replica))?.allOnline, online);
 });
 
-When('its own load changes all the time for longer than a peer may be silent', async function (this: TablesWorld) {
+When('its own load changes continuously for longer than the time-out of a peer', async function (this: TablesWorld) {
 	const [replica] = this.directory.all;
 	const longEnough = clock.now() + 1600;
 	while (clock.now() < longEnough) {
@@ -282,17 +282,17 @@
 	}
 });
 
-Then('it has dropped {string} and counts {int} calls of others at {string}', function (this: TablesWorld, _peer: string, count: number, replica: string) {
+Then('it has removed {string} and counts {int} calls of others at {string}', function (this: TablesWorld, _peer: string, count: number, replica: string) {
 	assert.deepEqual(this.peers.live, []);
 	assert.equal(this.directory.get(branded<ReplicaId>(replica))?.allOnline, count);
 });
 
 type PausedWorld = TestWorld & {manual: ManualClock; peers: PeerTable};
 
-/** How often a front looks for silent peers, in milliseconds. */
+/** Interval at which a front checks for unresponsive peers, in milliseconds. */
 const lookMs = 250;
 
-Given('a front that hears {string}', function (this: PausedWorld, peer: string) {
+Given('a front that receives messages of {string}', function (this: PausedWorld, peer: string) {
 	this.manual = new ManualClock();
 	this.peers = new PeerTable({
 		self: branded<MemberName>('front-1'), directory: new ReplicaDirectory(), loads: new LoadBoard(), quarantine: new Quarantine({clock: this.manual, log}), clock: this.manual, log,
@@ -308,17 +308,17 @@
 	this.peers.removeUnresponsive();
 });
 
-When('it hears nothing more for {int} ms', function (this: PausedWorld, ms: number) {
+When('it receives nothing more for {int} ms', function (this: PausedWorld, ms: number) {
 	Array.from({length: ms / lookMs}).forEach(() => {
 		this.manual.advance(lookMs);
 		this.peers.removeUnresponsive();
 	});
 });
 
-Then('it still knows {string}', function (this: PausedWorld, peer: string) {
+Then('it still lists peer {string}', function (this: PausedWorld, peer: string) {
 	assert.deepEqual(this.peers.live.map(({state}) => state.member as string), [peer]);
 });
 
-Then('it has dropped {string}', function (this: PausedWorld, _peer: string) {
+Then('it has removed {string}', function (this: PausedWorld, _peer: string) {
 	assert.deepEqual(this.peers.live, []);
 });
--- a/src/gateway/job-calls.ts
+++ b/src/gateway/job-calls.ts
@@ -1,5 +1,5 @@
 /**
-What callers can ask of batch jobs, and how the answers are spelled; the paths and fields are the adapter's.
+The requests that callers can make about batch jobs, and the interface by which a platform's adapter defines their paths and the fields of their answers.
 */
 import type {IncomingMessage} from 'node:http';
 import type {Either} from 'purify-ts/Either';
@@ -7,18 +7,18 @@
 import type {ResultsPage} from './batch/job-reader.js';
 import type {BatchItemId, BatchJobId} from './types.js';
 
-/** A question about a job. */
+/** A request about a job. */
 export type JobCall
 	= | {readonly kind: 'results'; readonly job: BatchJobId; readonly after: number; readonly waitMs: number}
 		| {readonly kind: 'body'; readonly job: BatchJobId; readonly item: BatchItemId}
 		| {readonly kind: 'end'; readonly job: BatchJobId};
 
-/** See the module's head. */
+/** Parses requests for and about jobs and formats their answers; implemented by the platform's adapter. */
 export type JobCallDialect = {
-	/** @returns The question that a request asks; nothing where it is an ordinary call. */
+	/** @returns The request about a job; `undefined` for an ordinary call. */
 	match(req: Pick<IncomingMessage, 'method' | 'url' | 'headers'>): JobCall | undefined;
-	/** @returns The items of a submission, or what is wrong with it. */
+	/** @returns The items of a submitted job, or why the body is invalid. */
 	readItems(body: string): Either<string, readonly BatchItem[]>;
-	/** @returns The body of an answer with results. */
+	/** @returns The body of an answer that carries results. */
 	writeResults(page: ResultsPage): string;
 };
--- a/src/gateway/keeper.ts
+++ b/src/gateway/keeper.ts
@@ -1,5 +1,5 @@
 /**
-The composition root of `citronyard-keeper`, which runs on VMs with a disk. It holds batch jobs that were accepted while the object API was away, until they stand there; nothing else is kept on disks. So when operators ask for such a VM to be emptied, it may be taken away as soon as no job is held.
+The composition root of `citronyard-keeper`, which runs on VMs with a disk. It persists batch jobs that were accepted while the object API was unavailable, until they are stored there; the system keeps nothing else on disks. When operators request the retirement of such a VM, it may therefore be removed as soon as no job is held.
 */
 import path from 'node:path';
 import {Right, type Either} from 'purify-ts/Either';
@@ -24,7 +24,7 @@
 import type {KeeperSettings} from './settings.js';
 import type {MemberName} from './types.js';
 
-/** What the keeper needs. */
+/** Dependencies of the keeper. */
 export type KeeperParts = {
 	readonly api: ObjectApi;
 	readonly records: Pick<RecordReaders, 'readRetirement' | 'retirementDone'>;
@@ -32,13 +32,13 @@
 	readonly log: EventLog;
 };
 
-/** Retirements give seconds; a long wait keeps the calls of many keepers few. In milliseconds. */
+/** Wait of one watch, in milliseconds. Retirements allow some seconds, and long waits keep the call rate of many keepers low. */
 const watchMs = 5000;
 
-/** Until a keeper that still holds jobs looks again whether it is empty, in milliseconds. */
+/** Interval at which a retiring keeper checks whether it still holds jobs, and repeats an answer that failed; in milliseconds. */
 const emptyingMs = 300;
 
-/** See the module's head. */
+/** The keeper process. */
 export class Keeper implements RunningProgram {
 	readonly #settings: KeeperSettings;
 	readonly #parts: KeeperParts;
@@ -87,7 +87,7 @@
 		return {peers: this.#server.address};
 	}
 
-	/** Takes up held jobs, and begins to take others. */
+	/** Loads the jobs held on disk, and starts to accept others. */
 	async start(): Promise<Either<StartError, Keeper>> {
 		const {peerListen, metricsListen} = this.#settings;
 		const listening = await this.#server.listen(peerListen);
@@ -108,7 +108,7 @@
 		return Right(this);
 	}
 
-	/** What is held is on the disk; the next start goes on with it. */
+	/** Held jobs are on the disk, and the next start continues with them. */
 	async drain(): Promise<void> {
 		this.#lifecycle.send('drain');
 	}
@@ -125,13 +125,13 @@
 	}
 
 	/**
-	Answers for the VM that it runs on.
+	Answers a retirement request for the VM that this process runs on, once no job is held.
 
-	From the wish on nothing more is held: the VM may be taken away with its disk the moment after the answer, and a job that was accepted in between would be lost with it. The write is conditional, so that the answer belongs to the wish as it was read; one that the object API did not take is made again, or the VM would never be taken away.
+	From the request on no more jobs are accepted: the VM may be removed with its disk right after the answer, and a job accepted in between would be lost with it. The write is conditional, so that the answer applies to the request as it was read. A write that the object API did not accept is repeated, or the VM would never be removed.
 	*/
 	async #answer({name, version, value}: StoredObject): Promise<void> {
 		const {api, records, clock, log} = this.#parts;
-		// The own answer comes back as a change of the wish.
+		// This keeper's own answer is received as a change of the request.
 		if (name !== this.#settings.name || version <= this.#answeredVersion || records.readRetirement(value).isLeft()) {
 			return;
 		}
@@ -154,5 +154,5 @@
 	}
 }
 
-/** A conflict means that the wish has changed, and brings it anew; one that is gone needs no answer. */
+/** Whether a failed write is worth repeating. After a conflict the changed request is received through the feed, and one that was removed needs no answer. */
 const isPassing = (err: ApiError | undefined): boolean => err?.kind === 'unavailable' || err?.kind === 'unknown';
--- a/src/gateway/load-board.ts
+++ b/src/gateway/load-board.ts
@@ -1,32 +1,32 @@
 /**
-Who holds how many places: each request in flight is counted at its replica from before it is sent until its attempt has ended, and whoever shares or frees places hears of each change.
+Counts the slots in use: each request in flight is counted at its replica from before it is sent until its attempt has ended. Listeners are notified of each change, so that loads are announced to peers and freed slots are reused.
 */
 import {EventEmitter} from 'node:events';
 import type {Replica} from './replica.js';
 
-/** What a place is taken for. */
+/** What a slot is used for. */
 export type LoadKind = 'online' | 'batch';
 
-/** Counts requests in flight. */
+/** Counts requests in flight, in total and per replica. */
 export class LoadBoard {
 	readonly #events = new EventEmitter();
 	#online = 0;
 	#batch = 0;
 
-	/** Own online requests in flight, at all replicas. */
+	/** Online requests of this process in flight, at all replicas. */
 	get online(): number {
 		return this.#online;
 	}
 
-	/** Own batch items in flight, at all replicas. */
+	/** Batch items of this process in flight, at all replicas. */
 	get batch(): number {
 		return this.#batch;
 	}
 
 	/**
-	Takes a place.
+	Acquires a slot.
 
-	@returns Gives it back; a second call changes nothing.
+	@returns Releases the slot; a second call has no effect.
 	*/
 	acquireSlot(replica: Replica, kind: LoadKind): () => void {
 		this.#add(replica, kind, 1);
@@ -39,7 +39,7 @@
 		};
 	}
 
-	/** A peer's count at a replica has changed. */
+	/** Notifies listeners that a peer's count at a replica has changed. */
 	notifyPeerChange(replica: Replica): void {
 		this.#events.emit('peers', replica);
 	}
--- a/src/gateway/log-events.ts
+++ b/src/gateway/log-events.ts
@@ -1,69 +1,69 @@
 /**
-The gateway's numbered events, 700 to 799.
+The gateway's log events, numbered 700 to 799. Operators' alerts match the numbers, so a number is never reused.
 */
 import type {EventDefinition} from '../common/types.js';
 
 export const gatewayEvents = {
-	/** Fields: id, route, replica, online, batch (in flight there), attempt, resumeAfter, heardMs (age of what is known of the registrations), missedMs (since when the replica's own is missing). */
+	/** Fields: id, route, replica, online, batch (in flight there), attempt, resumeAfter, heardMs (age of the cached registrations), missedMs (how long the replica's own has been missing). */
 	callRouted: {number: 700, level: 'info', text: 'replica chosen for a call'},
 	/** Fields: id, replica, kind, reason or status, content (the same for the same request under another id). */
-	attemptFailed: {number: 701, level: 'info', text: 'attempt at a replica ended without a whole answer'},
-	/** Fields: id, route, status (that the caller got), reason, elapsedMs, firstByteMs, offers, runs, lastEnd; content, where an attempt has failed. */
+	attemptFailed: {number: 701, level: 'info', text: 'attempt at a replica ended without a complete answer'},
+	/** Fields: id, route, status (sent to the caller), reason, elapsedMs, firstByteMs, offers, runs, lastEnd; content, where an attempt has failed. */
 	callEnded: {number: 702, level: 'info', text: 'call ended'},
 	/** Fields: id, host, target, status, reason, configVersion. */
 	callRejected: {number: 703, level: 'info', text: 'call rejected before it was routed'},
 	/** Fields: id, route, account, reason (of a key), status, retryAfterMs, configVersion. */
 	callerRefused: {number: 704, level: 'info', text: 'call refused by its API key or its account\'s rate limit'},
-	/** Fields: account, refused (since the last line), level (calls that may come at once), admitted and asked (here, since the start), perSecond, burst. */
-	rateLimitReached: {number: 705, level: 'info', text: 'account is at its rate limit'},
+	/** Fields: account, refused (since the last line), level (calls that may be made at once), admitted and asked (at this process, since its start), perSecond, burst. */
+	rateLimitReached: {number: 705, level: 'info', text: 'account has reached its rate limit'},
 	/** Fields: account, version, reason. */
-	accountUnreadable: {number: 706, level: 'error', text: 'client account can not be read, or shares a key; its calls are refused'},
-	/** Fields: id, replica, status and contentType (of this run's own answer; 0 without one), isFramed, resumeAfter, lastEventId (the caller's by now), outcome. */
-	rerunEnded: {number: 707, level: 'info', text: 'a run after the first one of a call ended'},
+	accountUnreadable: {number: 706, level: 'error', text: 'client account cannot be read or shares a key; its calls are refused'},
+	/** Fields: id, replica, status and contentType (of this run's own answer; status 0 without one), isFramed, resumeAfter, lastEventId (last event sent to the caller), outcome. */
+	rerunEnded: {number: 707, level: 'info', text: 'second or later run of a call ended'},
 	/** Fields: version, routes, services, accounts. */
 	configInForce: {number: 710, level: 'info', text: 'configuration in force'},
 	/** Fields: name, reason. */
-	configUnreadable: {number: 711, level: 'error', text: 'configuration can not be read, the one before stays in force'},
+	configUnreadable: {number: 711, level: 'error', text: 'configuration cannot be read; the previous one stays in force'},
 	/** Fields: name, reason. */
-	registrationUnreadable: {number: 737, level: 'warn', text: 'registration can not be read, it names no replica'},
-	/** Fields: replica, service, address, change, missedMs (for how long it was kept without a registration). */
-	replicaChanged: {number: 712, level: 'info', text: 'replica registered, changed or gone'},
+	registrationUnreadable: {number: 737, level: 'warn', text: 'registration cannot be read and is not used'},
+	/** Fields: replica, service, address, change, missedMs (how long it was retained without a registration). */
+	replicaChanged: {number: 712, level: 'info', text: 'replica registered, changed or removed'},
 	/** Fields: replica, isReachable, silentMs, limitMs. */
-	replicaSuspected: {number: 738, level: 'info', text: 'replica is silent, a connection was tried'},
+	replicaSuspected: {number: 738, level: 'info', text: 'replica is unresponsive; a connection was attempted'},
 	/** Fields: replica. */
-	replicaReachable: {number: 739, level: 'info', text: 'replica can be reached again'},
-	/** Fields: replica, content (what it was running; one line for each request). */
-	replicaTerminated: {number: 740, level: 'warn', text: 'a connection broke within a request and the replica takes none any more, so it has ended'},
+	replicaReachable: {number: 739, level: 'info', text: 'replica is reachable again'},
+	/** Fields: replica, content (of a request that it was running; one line each). */
+	replicaTerminated: {number: 740, level: 'warn', text: 'replica terminated: a connection broke within a request and no new one is accepted'},
 	/** Fields: content, crashes, heldMs. */
-	contentQuarantined: {number: 741, level: 'warn', text: 'a request has ended the replicas that ran it and is held back'},
+	contentQuarantined: {number: 741, level: 'warn', text: 'request quarantined: replicas that ran it have terminated'},
 	/** Fields: content, reason. */
-	contentReleased: {number: 742, level: 'info', text: 'a request is no longer held back'},
+	contentReleased: {number: 742, level: 'info', text: 'request released from quarantine'},
 	/** Fields: content, reason. */
-	quarantineSyncFailed: {number: 743, level: 'warn', text: 'what is held back could not be written, read or removed; it is tried again'},
+	quarantineSyncFailed: {number: 743, level: 'warn', text: 'quarantine record could not be written, read or removed; this is retried'},
 	/** Fields: replica, graceMs. */
-	registrationMissing: {number: 713, level: 'info', text: 'registration missing after an outage, kept for now'},
+	registrationMissing: {number: 713, level: 'info', text: 'registration missing after an outage; replica retained for the grace period'},
 	/** Fields: kind, reason. */
-	feedLost: {number: 714, level: 'warn', text: 'object API does not answer, what is known is kept'},
-	/** Fields: kind, revision, awayMs, lateMs (since it has answered any call of this process again). */
+	feedLost: {number: 714, level: 'warn', text: 'object API does not answer; cached objects stay in use'},
+	/** Fields: kind, revision, awayMs, lateMs (since the first answer to any call of this process after the outage). */
 	feedRegained: {number: 715, level: 'info', text: 'object API answers again'},
-	/** Fields: kind, ageMs (since what is known was confirmed), isKnown (whether it was read in time), waitedMs. */
-	feedRefreshed: {number: 744, level: 'info', text: 'objects were too old to send work by, and were read again'},
-	/** Fields: reason, peers (that can help). */
-	objectApiRelayed: {number: 731, level: 'warn', text: 'object API does not answer here, calls go by way of peers'},
+	/** Fields: kind, ageMs (since the objects were last confirmed), isKnown (whether they were read in time), waitedMs. */
+	feedRefreshed: {number: 744, level: 'info', text: 'objects exceeded their maximum age; dispatch waited for a read'},
+	/** Fields: reason, peers (that can relay calls). */
+	objectApiRelayed: {number: 731, level: 'warn', text: 'object API is unreachable from here; calls are relayed by peers'},
 	/** No fields. */
-	objectApiDirect: {number: 732, level: 'info', text: 'object API answers here again'},
+	objectApiDirect: {number: 732, level: 'info', text: 'object API is reachable from here again'},
 	/** Fields: peer, address. */
-	peerJoined: {number: 716, level: 'info', text: 'peer heard'},
+	peerJoined: {number: 716, level: 'info', text: 'peer joined'},
 	/** Fields: peer, silentMs. */
-	peerUnresponsive: {number: 717, level: 'warn', text: 'peer is silent, its jobs are open to others'},
+	peerUnresponsive: {number: 717, level: 'warn', text: 'peer is unresponsive; other processes may claim its jobs'},
 	/** Fields: ready, reason. */
 	readinessChanged: {number: 718, level: 'info', text: 'readiness changed'},
 	/** Fields: member, reason. */
-	memberWriteFailed: {number: 719, level: 'warn', text: 'own address could not be written for peers to find'},
+	memberWriteFailed: {number: 719, level: 'warn', text: 'own member record, by which peers find this process, could not be written'},
 	/** Fields: id, route, items, tokens, waitingTokens, cap, outcome, isHeld, elapsedMs. */
 	jobSubmitted: {number: 720, level: 'info', text: 'batch job submitted'},
 	/** Fields: id, outcome. */
-	jobEnded: {number: 721, level: 'info', text: 'end of a batch job asked for'},
+	jobEnded: {number: 721, level: 'info', text: 'end of a batch job requested'},
 	/** Fields: job, item, replica, resumeAfter, dueInMs, heardMs and missedMs (as of a call). */
 	itemStarted: {number: 722, level: 'info', text: 'batch item sent to a replica'},
 	/** Fields: job, item, replica, outcome, events, reason, elapsedMs. */
@@ -71,25 +71,25 @@
 	/** Fields: job, page, results, outcome. */
 	resultsCommitted: {number: 724, level: 'info', text: 'results of a batch job written'},
 	/** Fields: job, claimed. */
-	jobClaimChanged: {number: 725, level: 'info', text: 'batch job is run by this process, or no longer'},
-	/** Fields: job, to (nobody: written into the object API), items, results. */
+	jobClaimChanged: {number: 725, level: 'info', text: 'batch job claimed or released by this process'},
+	/** Fields: job, to (missing if the job was written to the object API), items, results. */
 	jobHandedOver: {number: 728, level: 'info', text: 'batch job handed over to the process that runs it next'},
-	/** Fields: job, item, ownEvents and handedOverEvents (known here, and by the process that has left the job), isRunning, from (whose text the next run goes on from). */
+	/** Fields: job, item, ownEvents and handedOverEvents (received here, and by the process that handed the job over), isRunning, from (whose text the next run continues). */
 	itemTextReceived: {number: 729, level: 'info', text: 'text of a batch item handed over'},
 	/** Fields: job, reason. */
 	jobRemoved: {number: 726, level: 'info', text: 'records of a batch job removed'},
 	/** Fields: id, status, reason. */
 	jobReadFailed: {number: 727, level: 'info', text: 'batch job could not be read'},
 	/** Fields: id, items. */
-	jobHeld: {number: 733, level: 'info', text: 'batch job held on disk until the object API takes it'},
+	jobHeld: {number: 733, level: 'info', text: 'batch job held on disk until the object API accepts it'},
 	/** Fields: id, isGone, reason. */
 	jobHoldFailed: {number: 734, level: 'error', text: 'batch job could not be held on disk'},
 	/** Fields: id, reason. */
-	heldJobRemovalFailed: {number: 736, level: 'error', text: 'file of a batch job that stands in the object API could not be removed'},
+	heldJobRemovalFailed: {number: 736, level: 'error', text: 'file of a batch job that the object API has stored could not be removed'},
 	/** Fields: id. */
-	heldJobWritten: {number: 735, level: 'info', text: 'held batch job stands in the object API'},
+	heldJobWritten: {number: 735, level: 'info', text: 'held batch job written to the object API'},
 	/** Fields: name, outcome. */
-	retirementAnswered: {number: 730, level: 'info', text: 'storage VM may be taken away'},
+	retirementAnswered: {number: 730, level: 'info', text: 'retirement request of a storage VM answered'},
 	/** Fields: reason. */
-	handlerFailed: {number: 790, level: 'error', text: 'the handler of a peer\'s call broke an invariant'},
+	handlerFailed: {number: 790, level: 'error', text: 'handler of a peer\'s call broke an invariant'},
 } as const satisfies Record<string, EventDefinition>;
--- a/src/gateway/metered-object-api.steps.ts
+++ b/src/gateway/metered-object-api.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the metrics of the object API, read as a collector reads them.
+Steps for the metrics of the object API, read in the format of a collector.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -37,12 +37,12 @@
 	}
 });
 
-When('the object API is away for {int} reads of {string}', async function (this: MeteredWorld, count: number, kind: ObjectKind) {
+When('the object API is unavailable for {int} reads of {string}', async function (this: MeteredWorld, count: number, kind: ObjectKind) {
 	this.fake.down = true;
 	await Promise.all(Array.from({length: count}, async () => this.api.get(kind, 'r1')));
 });
 
-When('a watch waits for nothing', async function (this: MeteredWorld) {
+When('a watch ends without a change', async function (this: MeteredWorld) {
 	await this.api.watch(['BatchRecord'], branded<Revision>(2), 20);
 });
 
@@ -52,7 +52,7 @@
 	assert.equal(Number(sampleOf(calls, {operation, kind, outcome})?.value), count);
 });
 
-// The parser knows a histogram but joins those that differ by labels only, so its samples are read from the text.
+// The parser supports histograms but merges those that differ by labels only, so the samples are read from the text.
 Then('a scrape has a histogram of {int} calls {string} and none of {string}', async function (this: MeteredWorld, count: number, operation: string, untimed: string) {
 	const times = await family(this, 'citronyard_gateway_objectApiCall_ms');
 	assert.equal(times?.type, 'HISTOGRAM');
--- a/src/gateway/metered-object-api.ts
+++ b/src/gateway/metered-object-api.ts
@@ -1,5 +1,5 @@
 /**
-Counts and times the calls of an object API: each costs its operators money and counts toward a rate that grows more slowly than the fleet, and an outage shows first in their outcomes.
+Counts and times the calls to an object API. Each call costs the operators money and counts toward a rate that grows more slowly than the fleet, and an outage shows first in the outcomes.
 */
 import type {Either} from 'purify-ts/Either';
 import {errorOf} from '../common/error-of.js';
@@ -11,7 +11,7 @@
 
 type Operation = 'get' | 'create' | 'update' | 'remove' | 'list' | 'watch';
 
-/** See the module's head. */
+/** Decorates an object API with metrics. */
 export class MeteredObjectApi implements ObjectApi {
 	readonly #api: ObjectApi;
 	readonly #metrics: Metrics;
@@ -52,7 +52,7 @@
 		const outcome = await call();
 		this.#metrics.count('gateway.objectApiCalls', 1, {operation, kind, outcome: errorOf(outcome)?.kind ?? 'done'});
 		if (operation !== 'watch') {
-			// A watch waits on purpose.
+			// A watch waits by design, which would hide a slow object API.
 			this.#metrics.timing('gateway.objectApiCall', this.#clock.now() - startedAt, {operation});
 		}
 
--- a/src/gateway/replica-eligibility.ts
+++ b/src/gateway/replica-eligibility.ts
@@ -1,10 +1,10 @@
 /**
-Whether a replica that was chosen may still be sent work; asked again once its connection has been made.
+Whether a chosen replica may be sent work. It is checked again once a new connection has been made, since the replica may have left meanwhile.
 */
 import type {FeedFreshness} from './feed-freshness.js';
 import type {Replica} from './replica.js';
 import type {ReplicaDirectory} from './replica-directory.js';
 
-/** By the registrations as they are known at this moment, unless those are too old. */
+/** @returns Whether the registrations are fresh and list the replica as taking work. */
 export const isEligible = ({replicaFreshness, directory}: {readonly replicaFreshness: FeedFreshness; readonly directory: ReplicaDirectory}, replica: Replica): boolean =>
 	replicaFreshness.isFresh && directory.takesWork(replica);
