--- a/src/gateway/attempt.steps.ts
+++ b/src/gateway/attempt.steps.ts
@@ -12,10 +12,10 @@
 import type {CallDialect, ReplicaId} from './types.js';
 
 type AttemptWorld = TestWorld & {
-	carrier: PlayedCarrier;
+	attemptConnection: FakeConnection;
 	ends: AttemptEnd[];
 	/** Number of reachability checks: one at each inactivity check but the last. */
-	questions: number;
+	reachabilityChecks: number;
 };
 
 const dialect: CallDialect = {
@@ -26,7 +26,7 @@
 };
 
 /** A connection that is driven by the test and records what is done to it. */
-class PlayedCarrier implements AttemptConnection {
+class FakeConnection implements AttemptConnection {
 	isReset = false;
 	isNew = true;
 	readonly done: string[] = [];
@@ -75,22 +75,22 @@
 	}
 }
 
-const begin = (world: AttemptWorld, id: string, patience: {connectMs?: number; silenceMs?: number; suspectMs?: number; isReachable?: boolean; isCurrent?: boolean}) => {
+const begin = (world: AttemptWorld, id: string, overrides: {connectTimeoutMs?: number; silenceMs?: number; probeAfterMs?: number; isReachable?: boolean; isEligible?: boolean}) => {
 	const {
-		connectMs = 60_000, silenceMs = 60_000, suspectMs = 60_000, isReachable = true, isCurrent = true,
-	} = patience;
-	world.carrier = new PlayedCarrier();
+		connectTimeoutMs = 60_000, silenceMs = 60_000, probeAfterMs = 60_000, isReachable = true, isEligible = true,
+	} = overrides;
+	world.attemptConnection = new FakeConnection();
 	world.ends = [];
-	world.questions = 0;
+	world.reachabilityChecks = 0;
 	const attempt = new Attempt({
-		connection: world.carrier,
+		connection: world.attemptConnection,
 		reachability: {
-			connectTimeoutMs: connectMs,
-			probeAfterMs: suspectMs,
+			connectTimeoutMs,
+			probeAfterMs,
 			noteConnected: () => undefined,
 			noteBytes: () => undefined,
 			async isReachable() {
-				world.questions += 1;
+				world.reachabilityChecks += 1;
 				return isReachable;
 			},
 		},
@@ -99,7 +99,7 @@
 		message: {method: 'POST', target: '/', headers: []},
 		fields: {requestId: id, replica: 'r1' as ReplicaId},
 		timeouts: {silenceMs, canGoElsewhere: true},
-		isEligible: () => isCurrent,
+		isEligible: () => isEligible,
 		listener: {
 			onHead: () => undefined,
 			onBytes: () => undefined,
@@ -113,47 +113,47 @@
 };
 
 Given('an attempt whose connection is never made', function (this: AttemptWorld) {
-	begin(this, 'c1', {connectMs: 5});
+	begin(this, 'c1', {connectTimeoutMs: 5});
 });
 
 Given('an attempt for call {string}', function (this: AttemptWorld, id: string) {
 	begin(this, id, {});
-	this.carrier.send();
+	this.attemptConnection.send();
 });
 
 Given('an attempt for call {string} with an inactivity time-out of {int} ms', function (this: AttemptWorld, id: string, silenceMs: number) {
 	begin(this, id, {silenceMs});
-	this.carrier.send();
+	this.attemptConnection.send();
 });
 
-Given('an attempt for call {string} with an inactivity time-out of {int} ms, checked every {int} ms', function (this: AttemptWorld, id: string, silenceMs: number, suspectMs: number) {
-	begin(this, id, {silenceMs, suspectMs});
-	this.carrier.send();
+Given('an attempt for call {string} with an inactivity time-out of {int} ms, checked every {int} ms', function (this: AttemptWorld, id: string, silenceMs: number, probeAfterMs: number) {
+	begin(this, id, {silenceMs, probeAfterMs});
+	this.attemptConnection.send();
 });
 
 When('the process is paused for {int} ms within the attempt', pauseProcess);
 
 Then('it was checked {int} times', function (this: AttemptWorld, times: number) {
-	assert.equal(this.questions + 1, times);
+	assert.equal(this.reachabilityChecks + 1, times);
 });
 
 Given('an attempt for call {string} at an unreachable replica', function (this: AttemptWorld, id: string) {
-	begin(this, id, {suspectMs: 20, isReachable: false});
-	this.carrier.send();
+	begin(this, id, {probeAfterMs: 20, isReachable: false});
+	this.attemptConnection.send();
 });
 
 Given('an attempt for call {string} at a busy replica', function (this: AttemptWorld, id: string) {
-	begin(this, id, {suspectMs: 5, silenceMs: 60});
-	this.carrier.send();
+	begin(this, id, {probeAfterMs: 5, silenceMs: 60});
+	this.attemptConnection.send();
 });
 
 Given('an attempt at a replica that is no longer eligible when its connection is made', function (this: AttemptWorld) {
-	begin(this, 'c1', {isCurrent: false});
-	this.carrier.send();
+	begin(this, 'c1', {isEligible: false});
+	this.attemptConnection.send();
 });
 
 Then('its request was aborted before it was sent', function (this: AttemptWorld) {
-	assert.ok(this.carrier.done.includes('aborted'));
+	assert.ok(this.attemptConnection.done.includes('aborted'));
 });
 
 When('its connect time-out expires', async function (this: AttemptWorld) {
@@ -161,18 +161,18 @@
 });
 
 When('an answer to {string} arrives', function (this: AttemptWorld, id: string) {
-	this.carrier.answer(200, {'call-id': id, 'content-length': '0'});
+	this.attemptConnection.answer(200, {'call-id': id, 'content-length': '0'});
 });
 
 When('the replica states that it has not run the call', function (this: AttemptWorld) {
-	this.carrier.answer(503, {'call-id': 'c1', 'not-run': '1', 'content-length': '0'});
-	this.carrier.end();
+	this.attemptConnection.answer(503, {'call-id': 'c1', 'not-run': '1', 'content-length': '0'});
+	this.attemptConnection.end();
 });
 
 When('an answer without a length arrives and its connection is reset', function (this: AttemptWorld) {
-	this.carrier.answer(200, {'call-id': 'c1'});
-	this.carrier.isReset = true;
-	this.carrier.end();
+	this.attemptConnection.answer(200, {'call-id': 'c1'});
+	this.attemptConnection.isReset = true;
+	this.attemptConnection.end();
 });
 
 Then('it ended once, as {string}', async function (this: AttemptWorld, kind: AttemptEnd['kind']) {
@@ -181,13 +181,13 @@
 });
 
 Then('its connection is closed', function (this: AttemptWorld) {
-	assert.ok(this.carrier.done.includes('discarded'));
+	assert.ok(this.attemptConnection.done.includes('discarded'));
 });
 
 Then('its connection is released', function (this: AttemptWorld) {
-	assert.deepEqual(this.carrier.done, ['released']);
+	assert.deepEqual(this.attemptConnection.done, ['released']);
 });
 
 Then('the other idle connections to the replica are closed', function (this: AttemptWorld) {
-	assert.ok(this.carrier.done.includes('siblings renewed'));
+	assert.ok(this.attemptConnection.done.includes('siblings renewed'));
 });
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -82,19 +82,19 @@
 const misdirectedStatus = 421;
 
 /** Share of the inactivity time-out in which this process must have been running. The rest may have passed in pauses of the process, during which the replica could have answered. */
-const leastRunningShare = 1 / 2;
+const minRunningShare = 1 / 2;
 
-const textOf = (headers: unknown): string[] => (headers as readonly Buffer[]).map(String);
+const toStrings = (headers: unknown): string[] => (headers as readonly Buffer[]).map(String);
 
 /** A single attempt: started once, and over after its listener's `onEnd`. */
 export class Attempt implements Disposable {
 	readonly #parts: AttemptParts;
-	#timer: NodeJS.Timeout | undefined;
-	#silenceTimer: NodeJS.Timeout | undefined;
+	#connectTimer: NodeJS.Timeout | undefined;
+	#inactivityTimer: NodeJS.Timeout | undefined;
 	/** Milliseconds without a byte while this process was running; counted in steps, when the timer fires. */
-	#silentMs = 0;
+	#inactiveMs = 0;
 	/** When the last byte arrived, in milliseconds on the monotonic clock. */
-	#silentSince = 0;
+	#lastByteAt = 0;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isSent = false;
 	#isOver = false;
@@ -111,39 +111,39 @@
 
 	/** Sends the request. `onEnd` may be called before this returns. */
 	start(): void {
-		const connectMs = Math.round(this.#parts.reachability.connectTimeoutMs);
-		this.#timer = setTimeout(() => {
+		const connectTimeoutMs = Math.round(this.#parts.reachability.connectTimeoutMs);
+		this.#connectTimer = setTimeout(() => {
 			// After a pause of this process, the connection may have been made but not been handled yet: the event loop runs timers before sockets.
 			setImmediate(() => {
 				if (!this.#isSent) {
-					this.#giveUp({kind: 'notSent', reason: `no connection within ${connectMs} ms`});
+					this.#abort({kind: 'notSent', reason: `no connection within ${connectTimeoutMs} ms`});
 				}
 			});
-		}, connectMs);
+		}, connectTimeoutMs);
 		this.#send();
 	}
 
 	/** Stops reading until `resume`, so that a slow caller does not fill this process's memory. */
 	pause(): void {
 		this.#controller?.pause();
-		clearTimeout(this.#silenceTimer);
-		this.#silenceTimer = undefined;
-		this.#silentMs = 0;
+		clearTimeout(this.#inactivityTimer);
+		this.#inactivityTimer = undefined;
+		this.#inactiveMs = 0;
 	}
 
 	resume(): void {
 		this.#controller?.resume();
-		this.#watchSilence();
+		this.#restartInactivityTimer();
 	}
 
 	/** Closes the connection, so that the replica stops its work at once. */
 	dispose(): void {
-		this.#giveUp({kind: 'dropped'});
+		this.#abort({kind: 'dropped'});
 	}
 
 	#send() {
 		const {
-			connection, dialect, message, fields, reachability: contact, clock,
+			connection, dialect, message, fields, reachability, clock,
 		} = this.#parts;
 		const startedAt = clock.now();
 		const {isNew} = connection;
@@ -156,22 +156,22 @@
 		}, {
 			onRequestStart: controller => {
 				if (isNew && !this.#parts.isEligible()) {
-					this.#giveUp({kind: 'outdated'});
+					this.#abort({kind: 'outdated'});
 					controller.abort(new Error('the replica may have left while the connection was being made'));
 					return;
 				}
 
 				this.#controller = controller;
 				this.#isSent = true;
-				clearTimeout(this.#timer);
+				clearTimeout(this.#connectTimer);
 				if (isNew) {
-					contact.noteConnected(clock.now() - startedAt);
+					reachability.noteConnected(clock.now() - startedAt);
 				}
 
-				this.#watchSilence();
+				this.#restartInactivityTimer();
 			},
 			onResponseStart: (controller, status, answerHeaders, statusMessage) => {
-				this.#onHead(status, answerHeaders, textOf(controller.rawHeaders), statusMessage ?? '');
+				this.#onHead(status, answerHeaders, toStrings(controller.rawHeaders), statusMessage ?? '');
 			},
 			onResponseData: (_controller, bytes) => {
 				this.#onBytes(bytes);
@@ -185,53 +185,53 @@
 		});
 	}
 
-	#watchSilence() {
+	#restartInactivityTimer() {
 		if (this.#isOver) {
 			return;
 		}
 
-		this.#silentMs = 0;
-		this.#silentSince = this.#parts.clock.now();
-		if (this.#silenceTimer) {
-			this.#silenceTimer.refresh();
+		this.#inactiveMs = 0;
+		this.#lastByteAt = this.#parts.clock.now();
+		if (this.#inactivityTimer) {
+			this.#inactivityTimer.refresh();
 			return;
 		}
 
-		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs: suspectMs}} = this.#parts;
-		const stepMs = canGoElsewhere ? Math.min(suspectMs, silenceMs) : silenceMs;
-		this.#silenceTimer = setTimeout(() => {
-			this.#silentMs += stepMs;
+		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs}} = this.#parts;
+		const stepMs = canGoElsewhere ? Math.min(probeAfterMs, silenceMs) : silenceMs;
+		this.#inactivityTimer = setTimeout(() => {
+			this.#inactiveMs += stepMs;
 			// Data that arrived during a pause of this process is handled first.
 			setImmediate(() => {
-				this.#onSilence();
+				this.#onInactivity();
 			});
 		}, stepMs);
 	}
 
-	#onSilence() {
+	#onInactivity() {
 		const {silenceMs} = this.#parts.timeouts;
-		if (this.#isOver || this.#silentMs === 0) {
+		if (this.#isOver || this.#inactiveMs === 0) {
 			return;
 		}
 
-		if (this.#isSilentFor(silenceMs)) {
-			this.#giveUp({kind: 'silent', reason: `no byte within ${silenceMs} ms`});
+		if (this.#isInactiveFor(silenceMs)) {
+			this.#abort({kind: 'silent', reason: `no byte within ${silenceMs} ms`});
 			return;
 		}
 
-		this.#silenceTimer?.refresh();
-		void this.#suspect();
+		this.#inactivityTimer?.refresh();
+		void this.#checkReachability();
 	}
 
-	#isSilentFor(ms: number): boolean {
-		const elapsedMs = this.#parts.clock.now() - this.#silentSince;
-		return this.#silentMs >= ms || (this.#silentMs >= leastRunningShare * ms && elapsedMs >= ms);
+	#isInactiveFor(ms: number): boolean {
+		const elapsedMs = this.#parts.clock.now() - this.#lastByteAt;
+		return this.#inactiveMs >= ms || (this.#inactiveMs >= minRunningShare * ms && elapsedMs >= ms);
 	}
 
-	async #suspect() {
+	async #checkReachability() {
 		const isReachable = await this.#parts.reachability.isReachable();
-		if (!isReachable && this.#silentMs > 0) {
-			this.#giveUp({kind: 'cutOff', reason: `no byte within ${Math.round(this.#silentMs)} ms, and no connection can be made`});
+		if (!isReachable && this.#inactiveMs > 0) {
+			this.#abort({kind: 'cutOff', reason: `no byte within ${Math.round(this.#inactiveMs)} ms, and no connection can be made`});
 		}
 	}
 
@@ -240,11 +240,11 @@
 			return;
 		}
 
-		this.#noteBytes();
+		this.#onActivity();
 		const fields = this.#parts.dialect.readAnswer(status, headers);
 		if (!this.#isOwnAnswer(fields)) {
 			// A replica may send a second answer late, in the place of the next one. From then on, the connection's answers no longer match its requests.
-			this.#giveUp({kind: 'lost', reason: 'the answer belongs to another call'});
+			this.#abort({kind: 'lost', reason: 'the answer belongs to another call'});
 			return;
 		}
 
@@ -276,13 +276,13 @@
 			return;
 		}
 
-		this.#noteBytes();
+		this.#onActivity();
 		this.#parts.listener.onBytes(bytes);
 	}
 
-	#noteBytes() {
+	#onActivity() {
 		this.#parts.reachability.noteBytes();
-		this.#watchSilence();
+		this.#restartInactivityTimer();
 	}
 
 	#onResponseEnd() {
@@ -305,7 +305,7 @@
 		}
 
 		if (wasReset) {
-			this.#giveUp({kind: 'lost', reason: 'reset within an answer without a length'});
+			this.#abort({kind: 'lost', reason: 'reset within an answer without a length'});
 		} else {
 			this.#complete();
 		}
@@ -318,10 +318,10 @@
 
 	#onError(err: Error) {
 		const reason = (err as {code?: string}).code ?? err.message;
-		this.#giveUp(this.#isSent && !isBeforeSending(err) ? {kind: 'lost', reason} : {kind: 'notSent', reason});
+		this.#abort(this.#isSent && !isBeforeSending(err) ? {kind: 'lost', reason} : {kind: 'notSent', reason});
 	}
 
-	#giveUp(end: AttemptEnd) {
+	#abort(end: AttemptEnd) {
 		if (this.#isOver) {
 			return;
 		}
@@ -339,8 +339,8 @@
 
 	#end(end: AttemptEnd) {
 		this.#isOver = true;
-		clearTimeout(this.#timer);
-		clearTimeout(this.#silenceTimer);
+		clearTimeout(this.#connectTimer);
+		clearTimeout(this.#inactivityTimer);
 		this.#parts.listener.onEnd(end);
 	}
 }
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -11,7 +11,7 @@
 import {EventFramer, isEventStream, EventBoundaryTracker} from './event-framer.js';
 
 /** What determines how a call's answer is forwarded. */
-export type PassingRules = {
+export type ForwardingOptions = {
 	/** Whether another run may follow one that broke off. */
 	readonly isRepeatable: boolean;
 	/** Whether the answer is a series of events. */
@@ -23,17 +23,17 @@
 /**
 How the bytes of one run's answer are forwarded. `held`: buffered until the answer is complete. `events`: complete events only, so that a later run may continue after them. `stream`: events as they arrive, without a later run. `bytes`: as they arrive. `none`: discarded, because the caller has part of an answer that they do not belong to.
 */
-type Passing = 'held' | 'events' | 'stream' | 'bytes' | 'none';
+type ForwardingMode = 'held' | 'events' | 'stream' | 'bytes' | 'none';
 
 /** The longest answer that is buffered, in bytes. */
-const maxHeldBytes = 65_536;
+const maxBufferedBytes = 65_536;
 
-const hopByHop = ['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'te', 'trailer', 'upgrade'];
+const hopByHopHeaders = ['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'te', 'trailer', 'upgrade'];
 
-const notPassedOn = new Set(hopByHop);
+const removedHeaders = new Set(hopByHopHeaders);
 
 /** `content-length` is the length of one run's answer, and another run may complete the stream. */
-const notPassedOnOfEvents = new Set([...hopByHop, 'content-length']);
+const removedEventStreamHeaders = new Set([...hopByHopHeaders, 'content-length']);
 
 const withoutHeaders = (rawHeaders: readonly string[], names: ReadonlySet<string>): string[] => rawHeaders.filter((_, i) => {
 	const name = rawHeaders[i - (i % 2)] ?? '';
@@ -48,20 +48,20 @@
 	readonly #isRepeatable: boolean;
 	readonly #isStream: boolean;
 	readonly #framer: EventFramer;
-	readonly #streamEnd = new EventBoundaryTracker();
+	readonly #boundaryTracker = new EventBoundaryTracker();
 	/** The head that was sent to the caller, or that will be unless another run starts first. */
 	#head: AnswerHead | undefined;
-	#passing: Passing = 'none';
-	#held: Buffer[] = [];
+	#mode: ForwardingMode = 'none';
+	#buffered: Buffer[] = [];
 
-	readonly #takers: Readonly<Record<Passing, (bytes: Buffer) => Buffer>> = {
+	readonly #forwarders: Readonly<Record<ForwardingMode, (bytes: Buffer) => Buffer>> = {
 		held: bytes => {
-			this.#held.push(bytes);
+			this.#buffered.push(bytes);
 			return empty;
 		},
 		events: bytes => this.#framer.feed(bytes),
 		stream: bytes => {
-			this.#streamEnd.feed(bytes);
+			this.#boundaryTracker.feed(bytes);
 			return bytes;
 		},
 		bytes: bytes => bytes,
@@ -69,15 +69,15 @@
 	};
 
 	/** Whether an answer that ended without an error is complete. */
-	readonly #wholeness: Readonly<Record<Passing, () => boolean>> = {
+	readonly #completeness: Readonly<Record<ForwardingMode, () => boolean>> = {
 		held: () => true,
 		events: () => !this.#framer.hasPartialEvent,
-		stream: () => !this.#streamEnd.isWithinEvent,
+		stream: () => !this.#boundaryTracker.isWithinEvent,
 		bytes: () => true,
 		none: () => false,
 	};
 
-	constructor(res: ServerResponse, {isRepeatable, isStream, lastEventId = 0}: PassingRules) {
+	constructor(res: ServerResponse, {isRepeatable, isStream, lastEventId = 0}: ForwardingOptions) {
 		this.#res = res;
 		this.#isRepeatable = isRepeatable;
 		this.#isStream = isStream;
@@ -101,25 +101,25 @@
 
 	/** False once an event of a resumable stream was missing or duplicated. */
 	get isInOrder(): boolean {
-		return this.#passing !== 'events' || this.#framer.isInOrder;
+		return this.#mode !== 'events' || this.#framer.isInOrder;
 	}
 
 	/** Whether the run that ended without an error completes the caller's answer. It does not if it ended within an event, or if the caller has part of a stream and the run answered something else. */
 	get isComplete(): boolean {
-		return this.#wholeness[this.#passing]();
+		return this.#completeness[this.#mode]();
 	}
 
 	/** Starts the answer of a run. Once anything was sent to the caller, the head of the run that it came from stays. */
 	begin(head: AnswerHead): void {
-		this.#held = [];
+		this.#buffered = [];
 		if (this.hasBegun) {
 			this.#framer.startNextRun();
-			this.#passing = this.#isResumable && isEventStream(head) ? 'events' : 'none';
+			this.#mode = this.#isResumable && isEventStream(head) ? 'events' : 'none';
 			return;
 		}
 
 		this.#head = head;
-		this.#passing = this.#passingOf(head);
+		this.#mode = this.#modeFor(head);
 	}
 
 	/**
@@ -128,25 +128,25 @@
 	@param source - Paused while the caller does not read.
 	*/
 	forward(bytes: Buffer, source: Attempt | undefined): void {
-		const passed = this.#takers[this.#passing](bytes);
-		if (passed.length > 0) {
-			this.#write(passed, source);
+		const forwarded = this.#forwarders[this.#mode](bytes);
+		if (forwarded.length > 0) {
+			this.#write(forwarded, source);
 		}
 	}
 
 	/** Discards what was not yet sent to the caller of a run that broke off. */
 	discardUnsent(): void {
 		this.#framer.discardRemainder();
-		this.#held = [];
+		this.#buffered = [];
 	}
 
 	/** Sends what is buffered and ends the answer; called when the run's answer is complete. */
 	finish(): void {
 		this.#writeHead();
-		this.#held.forEach(bytes => {
+		this.#buffered.forEach(bytes => {
 			this.#res.write(bytes);
 		});
-		this.#res.end(this.#passing === 'events' ? this.#framer.remainder : empty);
+		this.#res.end(this.#mode === 'events' ? this.#framer.remainder : empty);
 	}
 
 	/** Sends an answer of the gateway itself, without a body. */
@@ -173,13 +173,13 @@
 		return this.#isStream && this.#head !== undefined && isEventStream(this.#head);
 	}
 
-	#passingOf({headers}: AnswerHead): Passing {
+	#modeFor({headers}: AnswerHead): ForwardingMode {
 		if (this.#hasEvents) {
 			return this.#isRepeatable ? 'events' : 'stream';
 		}
 
 		const length = Number(headers['content-length'] ?? Number.NaN);
-		return this.#isRepeatable && length <= maxHeldBytes ? 'held' : 'bytes';
+		return this.#isRepeatable && length <= maxBufferedBytes ? 'held' : 'bytes';
 	}
 
 	#write(bytes: Buffer, source: Attempt | undefined) {
@@ -195,7 +195,7 @@
 	#writeHead() {
 		if (!this.hasBegun && this.#head) {
 			const {status, statusMessage, rawHeaders} = this.#head;
-			this.#res.writeHead(status, statusMessage, withoutHeaders(rawHeaders, this.#isResumable ? notPassedOnOfEvents : notPassedOn));
+			this.#res.writeHead(status, statusMessage, withoutHeaders(rawHeaders, this.#isResumable ? removedEventStreamHeaders : removedHeaders));
 		}
 	}
 }
--- a/src/gateway/config-controller.ts
+++ b/src/gateway/config-controller.ts
@@ -24,17 +24,17 @@
 		this.#parts = parts;
 		parts.feed.onSnapshot(items => {
 			items.forEach(({name, value}) => {
-				this.#take(name, value);
+				this.#apply(name, value);
 			});
 		});
 		parts.feed.onChanges(events => {
 			events.filter(({type}) => type === 'put').forEach(({name, value}) => {
-				this.#take(name, value);
+				this.#apply(name, value);
 			});
 		});
 	}
 
-	#take(name: string, value: unknown) {
+	#apply(name: string, value: unknown) {
 		const {board, records, log} = this.#parts;
 		if (name !== records.configName) {
 			return;
--- a/src/gateway/event-framer.steps.ts
+++ b/src/gateway/event-framer.steps.ts
@@ -11,23 +11,23 @@
 /** One stream and what was forwarded of it. */
 type FramedStream = {
 	readonly sent: string;
-	readonly passedOn: string;
+	readonly forwarded: string;
 	readonly isWithinEvent: boolean;
 };
 
 type FramerWorld = TestWorld & {
 	streams: FramedStream[];
-	spentMs: number;
+	processorMs: number;
 };
 
-const fedTo = (framer: EventFramer, pieces: readonly string[]): FramedStream => {
-	const passedOn = pieces.map(piece => framer.feed(Buffer.from(piece)).toString());
+const feedAll = (framer: EventFramer, pieces: readonly string[]): FramedStream => {
+	const forwarded = pieces.map(piece => framer.feed(Buffer.from(piece)).toString());
 	const end = new EventBoundaryTracker();
 	pieces.forEach(piece => {
 		end.feed(Buffer.from(piece));
 	});
 	assert.equal(end.isWithinEvent, framer.hasPartialEvent, JSON.stringify(pieces));
-	return {sent: pieces.join(''), passedOn: passedOn.join('') + framer.remainder.toString(), isWithinEvent: framer.hasPartialEvent};
+	return {sent: pieces.join(''), forwarded: forwarded.join('') + framer.remainder.toString(), isWithinEvent: framer.hasPartialEvent};
 };
 
 const lineEndOf = (lines: string): string => lines.replaceAll(String.raw`\r`, '\r').replaceAll(String.raw`\n`, '\n');
@@ -36,23 +36,23 @@
 
 const streamWith = (lines: string): string => events.join('').replaceAll('|', lineEndOf(lines));
 
-const placesIn = (text: string): number[] => Array.from({length: text.length}, (_, i) => i + 1);
+const offsetsIn = (text: string): number[] => Array.from({length: text.length}, (_, i) => i + 1);
 
 When('a stream with line ends {string} is split into two chunks at any offset', function (this: FramerWorld, lines: string) {
 	const stream = streamWith(lines);
-	this.streams = placesIn(stream).map(at => fedTo(new EventFramer(0), [stream.slice(0, at), stream.slice(at)]));
+	this.streams = offsetsIn(stream).map(at => feedAll(new EventFramer(0), [stream.slice(0, at), stream.slice(at)]));
 });
 
 When('a stream with line ends {string} stops within its last event, at any offset', function (this: FramerWorld, lines: string) {
 	const [lastLength, blankLine] = [events.at(-1)!.replaceAll('|', lineEndOf(lines)).length, lineEndOf(lines).length];
 	const stream = streamWith(lines);
-	this.streams = placesIn(stream)
+	this.streams = offsetsIn(stream)
 		.filter(length => length > stream.length - lastLength && length <= stream.length - blankLine)
-		.map(length => fedTo(new EventFramer(0), [stream.slice(0, length)]));
+		.map(length => feedAll(new EventFramer(0), [stream.slice(0, length)]));
 });
 
 Then('all its bytes are forwarded in order each time', function (this: FramerWorld) {
-	assert.deepEqual(this.streams.map(({passedOn}) => passedOn), this.streams.map(({sent}) => sent));
+	assert.deepEqual(this.streams.map(({forwarded}) => forwarded), this.streams.map(({sent}) => sent));
 });
 
 Then('it ends between events each time', function (this: FramerWorld) {
@@ -67,15 +67,15 @@
 
 When('an event of {int} MB arrives in chunks of {int} kB and is {word}', function (this: FramerWorld, megabytes: number, kilobytes: number, passing: 'held' | 'followed') {
 	const piece = Buffer.alloc(kilobytes * 1024, 'a');
-	const taker = passing === 'held' ? new EventFramer(0) : new EventBoundaryTracker();
+	const splitter = passing === 'held' ? new EventFramer(0) : new EventBoundaryTracker();
 	const before = process.cpuUsage();
 	Array.from({length: megabytes * 1024 / kilobytes}).forEach(() => {
-		taker.feed(piece);
+		splitter.feed(piece);
 	});
 	const {user, system} = process.cpuUsage(before);
-	this.spentMs = (user + system) / 1000;
+	this.processorMs = (user + system) / 1000;
 });
 
-Then('processing it has taken less than {int} ms of processor time', function (this: FramerWorld, mostMs: number) {
-	assert.ok(this.spentMs < mostMs, `${this.spentMs} ms`);
+Then('processing it has taken less than {int} ms of processor time', function (this: FramerWorld, maxMs: number) {
+	assert.ok(this.processorMs < maxMs, `${this.processorMs} ms`);
 });
--- a/src/gateway/event-framer.ts
+++ b/src/gateway/event-framer.ts
@@ -8,13 +8,13 @@
 
 const eventsType = 'text/event-stream';
 
-const plainEncoding = 'identity';
+const identityEncoding = 'identity';
 
 /** Whether an answer is a readable stream of events; a compressed stream is not. */
 export const isEventStream = ({status, headers}: Pick<AnswerHead, 'status' | 'headers'>): boolean => {
 	const type = String(headers['content-type'] ?? '').toLowerCase();
-	const encoding = String(headers['content-encoding'] ?? plainEncoding).toLowerCase();
-	return status === okStatus && type.startsWith(eventsType) && encoding === plainEncoding;
+	const encoding = String(headers['content-encoding'] ?? identityEncoding).toLowerCase();
+	return status === okStatus && type.startsWith(eventsType) && encoding === identityEncoding;
 };
 
 /** Blank lines in each of the line-end conventions: the end of the preceding line, followed by their own. */
@@ -43,47 +43,47 @@
 const isOneEvent = (text: string): boolean => text.indexOf('\n\n') === text.length - 2;
 
 /** The ids of the events in the text, in order. */
-const numbersIn = (text: string): number[] => {
+const eventIds = (text: string): number[] => {
 	const matches = isOneEvent(text) ? [idPattern.exec(text)] : [...text.matchAll(allIds)];
 	return matches.filter(match => match !== null).map(({groups}) => Number(groups?.id));
 };
 
 /** A boundary has at most three bytes, so one that is split between two chunks starts within the last two bytes of the first. */
-const seamLength = 2;
+const boundaryTailLength = 2;
 
 /** Tracks whether a stream that is forwarded as it arrives is within an event; retains a few bytes of it. */
 export class EventBoundaryTracker {
 	/** What arrived after the last complete event, abridged to what determines how the next bytes are read. */
-	#rest = '';
+	#remainder = '';
 
 	/** Whether the stream so far ends within an event. */
 	get isWithinEvent(): boolean {
-		return fieldPattern.test(this.#rest);
+		return fieldPattern.test(this.#remainder);
 	}
 
 	/** Processes the next bytes. */
 	feed(bytes: Buffer): void {
-		const all = this.#rest + bytes.toString('latin1');
+		const all = this.#remainder + bytes.toString('latin1');
 		const rest = all.slice(endOfEvents(all));
-		this.#rest = rest.length > seamLength ? shortened(rest) : rest;
+		this.#remainder = rest.length > boundaryTailLength ? abridged(rest) : rest;
 	}
 }
 
 /** Stands in for a longer text: one character for a field or for a comment, then the line ends at the end of the text. */
-const shortened = (rest: string): string => (fieldPattern.test(rest) ? 'd' : ':') + rest.slice(-seamLength).replace(/^[\s\S]*[^\r\n]/v, '');
+const abridged = (rest: string): string => (fieldPattern.test(rest) ? 'd' : ':') + rest.slice(-boundaryTailLength).replace(/^[\s\S]*[^\r\n]/v, '');
 
 /** Splits one stream across all its runs. */
 export class EventFramer {
 	readonly #firstId: number;
 	/** Chunks that arrived after the last complete event. Joining them on each arrival would make the cost of an event of many chunks quadratic in its length. */
-	#rest: Buffer[] = [];
+	#pending: Buffer[] = [];
 	/** The last bytes of these chunks, in which a boundary may have started. */
-	#seam: Buffer = empty;
+	#boundaryTail: Buffer = empty;
 	#lastId: number;
 	#isInOrder = true;
 	#isNumbered = true;
 	/** Whether the current run is known to continue where the caller's events end. */
-	#isPlaced = true;
+	#isAligned = true;
 
 	/** @param lastId - Id of the last event that the caller has already. */
 	constructor(lastId: number) {
@@ -108,7 +108,7 @@
 
 	/** The bytes that arrived after the last complete event. */
 	get remainder(): Buffer {
-		return Buffer.concat(this.#rest);
+		return Buffer.concat(this.#pending);
 	}
 
 	/** Whether part of an event is held back. Blank lines and comments at the end of a stream do not count. */
@@ -119,44 +119,44 @@
 	/** Starts the next run. Only its first id shows where it continues, so bytes before that are held back. */
 	startNextRun(): void {
 		this.discardRemainder();
-		this.#isPlaced = this.#lastId === this.#firstId;
+		this.#isAligned = this.#lastId === this.#firstId;
 	}
 
 	/** @returns The bytes up to the end of the last complete event; may be empty. */
 	feed(bytes: Buffer): Buffer {
-		const searched = this.#seam.length > 0 ? Buffer.concat([this.#seam, bytes]) : bytes;
+		const searched = this.#boundaryTail.length > 0 ? Buffer.concat([this.#boundaryTail, bytes]) : bytes;
 		const end = endOfEvents(searched);
-		this.#rest.push(bytes);
+		this.#pending.push(bytes);
 		if (end === 0) {
-			this.#seam = searched.subarray(-seamLength);
+			this.#boundaryTail = searched.subarray(-boundaryTailLength);
 			return empty;
 		}
 
-		const all = this.#rest.length > 1 ? this.remainder : bytes;
-		const whole = this.#placed(all.subarray(0, all.length - searched.length + end));
-		this.#keepRest(all.subarray(whole.length));
-		this.#isInOrder &&= this.#follow(whole);
-		return this.#isInOrder ? whole : empty;
+		const all = this.#pending.length > 1 ? this.remainder : bytes;
+		const completeEvents = this.#whenAligned(all.subarray(0, all.length - searched.length + end));
+		this.#setRemainder(all.subarray(completeEvents.length));
+		this.#isInOrder &&= this.#recordIds(completeEvents);
+		return this.#isInOrder ? completeEvents : empty;
 	}
 
 	/** Discards a partial event: its run has ended, and the next one starts with that event again. */
 	discardRemainder(): void {
-		this.#keepRest(empty);
+		this.#setRemainder(empty);
 	}
 
-	#keepRest(rest: Buffer) {
-		this.#rest = rest.length > 0 ? [rest] : [];
-		this.#seam = rest.subarray(-seamLength);
+	#setRemainder(rest: Buffer) {
+		this.#pending = rest.length > 0 ? [rest] : [];
+		this.#boundaryTail = rest.subarray(-boundaryTailLength);
 	}
 
-	#placed(whole: Buffer): Buffer {
-		this.#isPlaced ||= idPattern.test(whole.toString('latin1'));
-		return this.#isPlaced ? whole : empty;
+	#whenAligned(completeEvents: Buffer): Buffer {
+		this.#isAligned ||= idPattern.test(completeEvents.toString('latin1'));
+		return this.#isAligned ? completeEvents : empty;
 	}
 
-	#follow(whole: Buffer): boolean {
-		const text = whole.toString('latin1');
-		const ids = numbersIn(text);
+	#recordIds(completeEvents: Buffer): boolean {
+		const text = completeEvents.toString('latin1');
+		const ids = eventIds(text);
 		const isInOrder = ids.every((id, i) => id === this.#lastId + i + 1);
 		if (isInOrder) {
 			this.#lastId += ids.length;
--- a/src/gateway/feed-freshness.steps.ts
+++ b/src/gateway/feed-freshness.steps.ts
@@ -14,8 +14,8 @@
 
 type FreshnessWorld = TestWorld & {
 	now: number;
-	freshAt: number;
-	awayAt: number | undefined;
+	confirmedAt: number;
+	lastFailedCallAt: number | undefined;
 	revision: Revision | undefined;
 	reads: number;
 	/** Outcome of the next reads. */
@@ -29,7 +29,7 @@
 };
 
 const log: EventLog = {emit: () => undefined};
-const mostAgeMs = 1900;
+const maxAgeMs = 1900;
 const revision = 1 as Revision;
 
 const clockOf = (world: FreshnessWorld): Clock => ({now: () => world.now, wall: () => world.now, sleep: async () => undefined});
@@ -49,27 +49,27 @@
 	} as unknown as ObjectFeed,
 	reachability: {
 		get lastFailedCallAt() {
-			return world.awayAt;
+			return world.lastFailedCallAt;
 		},
 		onAnswer(listener) {
 			world.answers.on('answer', listener);
 		},
 	},
-	lastConfirmedAt: () => world.freshAt,
+	lastConfirmedAt: () => world.confirmedAt,
 	clock: clockOf(world),
 	log,
-	maxAgeMs: mostAgeMs,
+	maxAgeMs,
 });
 
 Given('objects that were just confirmed', function (this: FreshnessWorld) {
 	this.now = 10_000;
-	this.freshAt = this.now;
-	this.awayAt = undefined;
+	this.confirmedAt = this.now;
+	this.lastFailedCallAt = undefined;
 	this.revision = revision;
 	this.reads = 0;
 	this.answers = new EventEmitter();
 	this.read = async () => {
-		this.freshAt = this.now;
+		this.confirmedAt = this.now;
 		return true;
 	};
 
@@ -78,7 +78,7 @@
 
 Given('no objects were read yet', function (this: FreshnessWorld) {
 	this.revision = undefined;
-	this.freshAt = -Infinity;
+	this.confirmedAt = -Infinity;
 });
 
 const feedWith = (world: FreshnessWorld, api: Partial<ObjectApi>) => {
@@ -88,7 +88,7 @@
 		log,
 		progress: {
 			get readUntil() {
-				return world.freshAt;
+				return world.confirmedAt;
 			},
 		},
 	}, 'Registration', {waitMs: 1000, mayLag: false}));
@@ -123,7 +123,7 @@
 			}
 
 			this.now += 5000;
-			this.freshAt = this.now - ms;
+			this.confirmedAt = this.now - ms;
 			return Right({version: revision, events: []});
 		},
 	});
@@ -139,7 +139,7 @@
 });
 
 When('the object API has failed a call that began {int} ms ago', function (this: FreshnessWorld, ms: number) {
-	this.awayAt = this.now - ms;
+	this.lastFailedCallAt = this.now - ms;
 });
 
 When('a call waits for a read that is not answered', async function (this: FreshnessWorld) {
@@ -199,8 +199,8 @@
 	assert.equal(this.reads, times);
 });
 
-Then('it has waited between {int} and {int} ms', function (this: FreshnessWorld, least: number, most: number) {
-	assert.ok(this.waitedMs >= least && this.waitedMs <= most, String(this.waitedMs));
+Then('it has waited between {int} and {int} ms', function (this: FreshnessWorld, minMs: number, maxMs: number) {
+	assert.ok(this.waitedMs >= minMs && this.waitedMs <= maxMs, String(this.waitedMs));
 });
 
 Then('its objects are {int} ms old', function (this: FreshnessWorld, ms: number) {
--- a/src/gateway/feed-freshness.ts
+++ b/src/gateway/feed-freshness.ts
@@ -22,13 +22,13 @@
 };
 
 /** The longest time that work waits for a read, in milliseconds: most of the usual latency target. */
-const waitMs = 250;
+const maxWaitMs = 250;
 
 /** The freshness of the objects of one kind. */
 export class FeedFreshness {
 	readonly #parts: FeedFreshnessParts;
 	/** When the last read started that was not answered in time. It counts as a confirmation, so that no other read is awaited until the maximum age has passed again. */
-	#triedAt = -Infinity;
+	#timedOutReadAt = -Infinity;
 	#refresh: Promise<void> | undefined;
 	/** Repeats the read; set while a read is awaited. */
 	#retry: (() => void) | undefined;
@@ -42,9 +42,9 @@
 
 	/** Whether work may be dispatched by the cached objects. True before the first list was read, when there is nothing to wait for. */
 	get isFresh(): boolean {
-		const {feed, reachability: contact, lastConfirmedAt: freshAt, clock, maxAgeMs: mostAgeMs} = this.#parts;
-		const judgedAt = Math.max(freshAt(), contact.lastFailedCallAt ?? -Infinity, this.#triedAt);
-		return feed.revision === undefined || clock.now() - judgedAt <= mostAgeMs;
+		const {feed, reachability, lastConfirmedAt, clock, maxAgeMs} = this.#parts;
+		const judgedAt = Math.max(lastConfirmedAt(), reachability.lastFailedCallAt ?? -Infinity, this.#timedOutReadAt);
+		return feed.revision === undefined || clock.now() - judgedAt <= maxAgeMs;
 	}
 
 	/** Reads the objects again. Resolves once they were read or the wait has timed out; concurrent callers share one read. */
@@ -56,16 +56,16 @@
 	}
 
 	async #read() {
-		const {kind, lastConfirmedAt: freshAt, clock, log} = this.#parts;
-		const askedAt = clock.now();
-		const ageMs = Math.round(askedAt - freshAt());
+		const {kind, lastConfirmedAt, clock, log} = this.#parts;
+		const readStartedAt = clock.now();
+		const ageMs = Math.round(readStartedAt - lastConfirmedAt());
 		const isKnown = await this.#isReadInTime();
 		if (!isKnown) {
-			this.#triedAt = askedAt;
+			this.#timedOutReadAt = readStartedAt;
 		}
 
 		log.emit(gatewayEvents.feedRefreshed, {
-			kind, ageMs, isKnown, waitedMs: Math.round(clock.now() - askedAt),
+			kind, ageMs, isKnown, waitedMs: Math.round(clock.now() - readStartedAt),
 		});
 	}
 
@@ -84,7 +84,7 @@
 				resolve(isKnown);
 			};
 
-			const limit = new TimeLimit(waitMs, () => {
+			const limit = new TimeLimit(maxWaitMs, () => {
 				finish(false);
 			});
 			let isReading = false;
--- a/src/gateway/front-server.ts
+++ b/src/gateway/front-server.ts
@@ -37,7 +37,7 @@
 };
 
 /** Multiple of the configured idle time for which a connection is kept alive. Callers reuse connections that were idle for most of the configured time, and a call must not cross the close of its connection. */
-const idleFactor = 2;
+const keepAliveFactor = 2;
 
 /** Keep-alive time until a configuration was received, and the least at any time; in milliseconds. */
 const defaultIdleMs = 60_000;
@@ -49,36 +49,36 @@
 const maxHeaderBytes = 65_536;
 
 /** `retry-after` of a process without a configuration, in milliseconds; it receives one within a second of its start. */
-const notReadyMs = 500;
+const notReadyRetryMs = 500;
 /** `retry-after` of a job over the quota of waiting tokens, in milliseconds. */
-const quotaMs = 1000;
+const quotaRetryMs = 1000;
 /** `retry-after` of a job that cannot be stored because the object API is unavailable, in milliseconds. */
-const awayMs = 700;
+const unavailableRetryMs = 700;
 
-type JobAnswers = Readonly<Record<SubmissionOutcome, {readonly status: number; readonly comeBackMs?: number}>>;
+type JobAnswers = Readonly<Record<SubmissionOutcome, {readonly status: number; readonly retryDelayMs?: number}>>;
 
 /** 503 and 429 guarantee that nothing of the job will run; `uncertain` guarantees nothing. */
 const submissionAnswers: JobAnswers = {
 	accepted: {status: 202},
-	full: {status: 429, comeBackMs: quotaMs},
-	away: {status: 503, comeBackMs: awayMs},
+	full: {status: 429, retryDelayMs: quotaRetryMs},
+	away: {status: 503, retryDelayMs: unavailableRetryMs},
 	tooLarge: {status: 413},
 	uncertain: {status: 504},
 	foreign: {status: 404},
 };
 
-const noAnswerStatus: Readonly<Record<JobReadError, number>> = {unknown: 404, unsure: 503};
+const failedReadStatus: Readonly<Record<JobReadError, number>> = {unknown: 404, unsure: 503};
 
-const answer = (res: ServerResponse, status: number, comeBackMs?: number) => {
+const sendEmpty = (res: ServerResponse, status: number, retryDelayMs?: number) => {
 	if (res.headersSent || res.destroyed) {
 		return;
 	}
 
-	res.writeHead(status, {'content-length': '0', ...(comeBackMs !== undefined && {'retry-after': String(comeBackMs / 1000)})});
+	res.writeHead(status, {'content-length': '0', ...(retryDelayMs !== undefined && {'retry-after': String(retryDelayMs / 1000)})});
 	res.end();
 };
 
-const answerBody = (res: ServerResponse, type: string, body: string | Buffer) => {
+const sendBody = (res: ServerResponse, type: string, body: string | Buffer) => {
 	res.writeHead(200, {'content-type': type, 'content-length': String(Buffer.byteLength(body))});
 	res.end(body);
 };
@@ -98,35 +98,35 @@
 	readonly #parts: FrontServerParts;
 	readonly #server: Server;
 	readonly #calls = new Set<OnlineCall>();
-	#isLeaving = false;
+	#isShuttingDown = false;
 
 	readonly #jobHandlers: JobHandlers = {
 		results: async (call, res, {identity}) => {
 			const page = await this.#parts.reader.results(call, identity);
 			if (typeof page === 'string') {
-				this.#answerNothing(res, call, page);
+				this.#sendReadFailure(res, call, page);
 				return;
 			}
 
-			answerBody(res, 'application/json', this.#parts.jobCalls.writeResults(page));
+			sendBody(res, 'application/json', this.#parts.jobCalls.writeResults(page));
 		},
 		body: async (call, res, {identity}) => {
 			const body = await this.#parts.reader.body(call, identity);
 			if (typeof body === 'string') {
-				this.#answerNothing(res, call, body);
+				this.#sendReadFailure(res, call, body);
 				return;
 			}
 
-			answerBody(res, 'application/octet-stream', body);
+			sendBody(res, 'application/octet-stream', body);
 		},
 		end: async (call, res, {identity}) => {
 			const outcome = await this.#parts.reader.end(call.job, identity);
 			if (outcome !== 'ended') {
-				this.#answerNothing(res, call, outcome);
+				this.#sendReadFailure(res, call, outcome);
 				return;
 			}
 
-			answer(res, 200);
+			sendEmpty(res, 200);
 		},
 	};
 
@@ -136,7 +136,7 @@
 			void this.#serve(req, res);
 		});
 		parts.board.onChange(({limits}) => {
-			this.#server.keepAliveTimeout = Math.max(defaultIdleMs, idleFactor * limits.idleTimeoutMs);
+			this.#server.keepAliveTimeout = Math.max(defaultIdleMs, keepAliveFactor * limits.idleTimeoutMs);
 			this.#server.headersTimeout = limits.headerTimeoutMs;
 		});
 	}
@@ -167,12 +167,12 @@
 
 	/** Asks each caller to close its connection after the next answer on it. */
 	disableKeepAlive(): void {
-		this.#isLeaving = true;
+		this.#isShuttingDown = true;
 	}
 
 	/** Accepts no more connections, closes idle ones, and resolves once the last call has ended. */
 	async close(): Promise<void> {
-		this.#isLeaving = true;
+		this.#isShuttingDown = true;
 		const closed = new Promise<void>(resolve => {
 			this.#server.close(() => {
 				resolve();
@@ -193,7 +193,7 @@
 	async #serve(req: IncomingMessage, res: ServerResponse) {
 		const arrivedAt = this.#parts.clock.now();
 		res.on('error', () => undefined);
-		if (this.#isLeaving) {
+		if (this.#isShuttingDown) {
 			res.shouldKeepAlive = false;
 		}
 
@@ -218,7 +218,7 @@
 		const refusal = errorOf(admitted);
 		if (refusal) {
 			req.resume();
-			this.#answerRefused(res, refusal);
+			this.#sendRefusal(res, refusal);
 			return;
 		}
 
@@ -249,22 +249,22 @@
 		return {id: this.#parts.dialect.readCall(req.headers).requestId, headers: req.rawHeaders};
 	}
 
-	#answerRefused(res: ServerResponse, {status, retryAfterMs}: GateRefusal) {
-		answer(res, status, retryAfterMs === undefined ? undefined : Math.ceil(retryAfterMs));
+	#sendRefusal(res: ServerResponse, {status, retryAfterMs}: GateRefusal) {
+		sendEmpty(res, status, retryAfterMs === undefined ? undefined : Math.ceil(retryAfterMs));
 	}
 
 	/** Answers 503 before a configuration was received, since the owner of a job cannot be determined without one. */
 	async #answerJobCall(call: JobCall, req: IncomingMessage, res: ServerResponse) {
 		const {board, gate} = this.#parts;
 		if (!board.config) {
-			this.#answerNothing(res, call, 'unsure');
+			this.#sendReadFailure(res, call, 'unsure');
 			return;
 		}
 
 		const caller = gate.identify(this.#headOf(req), board.hasAnonymousJobs);
 		const refusal = errorOf(caller);
 		if (refusal) {
-			this.#answerRefused(res, refusal);
+			this.#sendRefusal(res, refusal);
 			return;
 		}
 
@@ -283,14 +283,14 @@
 			id: dialect.readCall(req.headers).requestId, host: req.headers.host, target: req.url, status, configVersion: board.config?.version,
 		});
 		req.resume();
-		answer(res, status, status === 503 ? notReadyMs : undefined);
+		sendEmpty(res, status, status === 503 ? notReadyRetryMs : undefined);
 	}
 
 	/** Sends no answer to a caller that disconnected within its body. */
 	#rejectBody(res: ServerResponse, {kind}: BodyFailure) {
 		if (kind === 'tooLarge') {
 			res.shouldKeepAlive = false;
-			answer(res, 413);
+			sendEmpty(res, 413);
 		}
 	}
 
@@ -319,22 +319,22 @@
 			log.emit(gatewayEvents.callRejected, {
 				id: fields.requestId, host: req.headers.host, target: req.url, status: 400, reason: items.swap().orDefault('a job without an id'),
 			});
-			answer(res, 400);
+			sendEmpty(res, 400);
 			return;
 		}
 
 		const outcome = await intake.submit({
 			job: branded<BatchJobId>(fields.requestId), account: caller.account?.name, route, host: req.headers.host ?? '', target: req.url ?? '', items: items.unsafeCoerce(),
 		});
-		const {status, comeBackMs} = submissionAnswers[outcome];
-		answer(res, status, comeBackMs);
+		const {status, retryDelayMs} = submissionAnswers[outcome];
+		sendEmpty(res, status, retryDelayMs);
 	}
 
-	#answerNothing(res: ServerResponse, call: JobCall, reason: JobReadError) {
-		const status = noAnswerStatus[reason];
+	#sendReadFailure(res: ServerResponse, call: JobCall, reason: JobReadError) {
+		const status = failedReadStatus[reason];
 		this.#parts.log.emit(gatewayEvents.jobReadFailed, {
 			id: call.job, question: call.kind, status, reason,
 		});
-		answer(res, status, status === 503 ? notReadyMs : undefined);
+		sendEmpty(res, status, status === 503 ? notReadyRetryMs : undefined);
 	}
 }
--- a/src/gateway/front.ts
+++ b/src/gateway/front.ts
@@ -88,11 +88,11 @@
 const checkedWaitMs = 15_000;
 
 /** Shortest wait of a watch, in milliseconds: each watch counts toward the rate of calls to the object API. */
-const leastWatchMs = 800;
+const minWatchMs = 800;
 
 /** Pause before the next watch of registrations, in milliseconds. Replicas register one after the other when a fleet starts or is replaced, and without a pause each would cost every front a call. A change must take effect within some seconds. */
 const registrationPaceMs = 200;
-const mostRegistrationPaceMs = 600;
+const maxRegistrationPaceMs = 600;
 
 /** Pause before the next watch of job records, in milliseconds. Many are written each second; what is needed sooner is read explicitly. */
 const recordPaceMs = 250;
@@ -106,10 +106,10 @@
 @param changeMs - Milliseconds within which a change must be in force.
 */
 const checkMs = ({catchUpMs, objectApi: {timeoutMs}}: FrontSettings, changeMs: number) =>
-	Math.max(leastWatchMs, Math.min(catchUpMs - timeoutMs - catchUpMarginMs, changeMs - timeoutMs - changeMarginMs));
+	Math.max(minWatchMs, Math.min(catchUpMs - timeoutMs - catchUpMarginMs, changeMs - timeoutMs - changeMarginMs));
 
 /** Longest time that a call takes to reach its replica after it was sent, in milliseconds. */
-const travelMs = 100;
+const deliveryMs = 100;
 
 /** Added to the time between two reads, in milliseconds: the delays of the processes that read when the first in line does not, and the time of the answer. */
 const checkMarginMs = 250;
@@ -119,14 +119,14 @@
 
 @param changeMs - Milliseconds within which a change must be in force.
 */
-const mostAgeMs = (settings: FrontSettings, changeMs: number): number => Math.max(changeMs - travelMs, checkMs(settings, changeMs) + checkMarginMs);
+const maxAgeMs = (settings: FrontSettings, changeMs: number): number => Math.max(changeMs - deliveryMs, checkMs(settings, changeMs) + checkMarginMs);
 
 const feedOptions = ({catchUpMs, objectApi: {timeoutMs}}: FrontSettings) => {
-	const waitMs = Math.max(leastWatchMs, catchUpMs - timeoutMs - catchUpMarginMs);
+	const waitMs = Math.max(minWatchMs, catchUpMs - timeoutMs - catchUpMarginMs);
 	return {
 		GatewayConfig: {waitMs: checkedWaitMs, mayLag: false},
 		Registration: {
-			waitMs: checkedWaitMs, mayLag: false, paceMs: registrationPaceMs, maxPaceMs: mostRegistrationPaceMs,
+			waitMs: checkedWaitMs, mayLag: false, paceMs: registrationPaceMs, maxPaceMs: maxRegistrationPaceMs,
 		},
 		BatchRecord: {waitMs, mayLag: true, paceMs: recordPaceMs},
 		Member: {waitMs: 4 * waitMs, mayLag: true},
@@ -136,7 +136,7 @@
 };
 
 /** Time until the load balancer stops sending new connections, in milliseconds. It checks readiness once a second and removes a process after two refusals; connections until then are served. */
-const rotationMs = 2600;
+const balancerRemovalMs = 2600;
 
 /** Reserve of the shutdown time when requests in progress are aborted, in milliseconds: enough to write the last log lines. */
 const exitMarginMs = 400;
@@ -157,7 +157,7 @@
 	readonly #announcer: PeerAnnouncer;
 	readonly #checks: SharedChecks;
 	readonly #registry: MemberRegistry;
-	readonly #entry: MemberRegistrar;
+	readonly #registrar: MemberRegistrar;
 	readonly #connectionPools: ReplicaConnectionPools;
 	readonly #peers: PeerTable;
 	readonly #jobIndex: JobIndex;
@@ -232,18 +232,18 @@
 			},
 		});
 		this.#registry = new MemberRegistry(memberFeed, clock);
-		this.#entry = new MemberRegistrar({
+		this.#registrar = new MemberRegistrar({
 			self, api, clock, log,
 		});
 		const freshnessOf = (kind: 'GatewayConfig' | 'Registration', feed: ObjectFeed, changeMs: number) => new FeedFreshness({
-			kind, feed, reachability: api, clock, log, lastConfirmedAt: () => this.#checks.lastConfirmedAt(kind), maxAgeMs: mostAgeMs(settings, changeMs),
+			kind, feed, reachability: api, clock, log, lastConfirmedAt: () => this.#checks.lastConfirmedAt(kind), maxAgeMs: maxAgeMs(settings, changeMs),
 		});
 		const replicaFreshness = freshnessOf('Registration', replicaFeed, settings.drainMs);
 		const processCount = () => peers.processCount;
 		this.#connectionPools = new ReplicaConnectionPools({
 			board, directory, clock, processCount,
 		});
-		const contacts = new ReplicaReachability({
+		const reachability = new ReplicaReachability({
 			directory, clock, log, dial,
 		});
 		const contents = new ContentStore(api);
@@ -253,7 +253,7 @@
 			self, jobIndex, peers, clock, log, isLeaving, membersFirstLoadedAt: () => this.#registry.firstLoadedAt,
 		});
 		this.#runner = new BatchRunner({
-			self, api, feed: recordFeed, jobIndex, contents, peers, rpc, claims, failedRuns, board, directory, replicaFreshness, loads, connectionPools: this.#connectionPools, reachability: contacts, quarantine, dialect, itemHeaders, clock, random, log, metrics, failureDomain,
+			self, api, feed: recordFeed, jobIndex, contents, peers, rpc, claims, failedRuns, board, directory, replicaFreshness, loads, connectionPools: this.#connectionPools, reachability, quarantine, dialect, itemHeaders, clock, random, log, metrics, failureDomain,
 		});
 		this.#retention = new BatchRetention({
 			self, api, jobIndex, peers, clock, log, resultRetentionMs: settings.resultsKeptMs,
@@ -281,7 +281,7 @@
 			lifecycle: this.#lifecycle, board, directory, log,
 		});
 		this.#server = new FrontServer({
-			board, directory, replicaFreshness, configFreshness: freshnessOf('GatewayConfig', configFeed, settings.configMs), loads, connectionPools: this.#connectionPools, reachability: contacts, quarantine, serviceTimes: new ServiceTimes(), ranks: new CallRanks(clock), dialect, clock, random, log, metrics, processCount, failureDomain, jobCalls,
+			board, directory, replicaFreshness, configFreshness: freshnessOf('GatewayConfig', configFeed, settings.configMs), loads, connectionPools: this.#connectionPools, reachability, quarantine, serviceTimes: new ServiceTimes(), ranks: new CallRanks(clock), dialect, clock, random, log, metrics, processCount, failureDomain, jobCalls,
 			gate: new CallerGate({
 				board, dialect, limits: rateLimits, clock, log, metrics, configConfirmedAt: () => this.#checks.lastConfirmedAt('GatewayConfig'), staleAfterMs: settings.refuseKeysAfterMs,
 			}),
@@ -305,7 +305,7 @@
 			res.writeHead(this.#readiness.isReady ? 200 : 503, {'content-length': '0'});
 			res.end();
 		});
-		this.#owned = [this.#retention, this.#quarantineRecords, this.#runner, this.#announcer, this.#entry, registrations, this.#checks, progress, ...this.#feeds, contacts, this.#connectionPools, this.#server, this.#channel, this.#rpcServer, api, http, this.#metrics, this.#lifecycle];
+		this.#owned = [this.#retention, this.#quarantineRecords, this.#runner, this.#announcer, this.#registrar, registrations, this.#checks, progress, ...this.#feeds, reachability, this.#connectionPools, this.#server, this.#channel, this.#rpcServer, api, http, this.#metrics, this.#lifecycle];
 	}
 
 	get addresses(): Readonly<Record<string, string>> {
@@ -328,7 +328,7 @@
 		});
 		if (metricsListen) {
 			this.#metrics.serve(metricsListen, () => {
-				this.#measure();
+				this.#recordGauges();
 			});
 		}
 
@@ -340,7 +340,7 @@
 		this.#runner.start();
 		this.#retention.start();
 		this.#quarantineRecords.start();
-		void this.#entry.register({address: this.#channel.address, role: 'front'});
+		void this.#registrar.register({address: this.#channel.address, role: 'front'});
 		this.#lifecycle.send('started');
 		return Right(this);
 	}
@@ -354,7 +354,7 @@
 		const handedOver = this.#runner.handOver().then(() => {
 			this.#announcer.announceSoon();
 		});
-		await this.#clock.sleep(rotationMs);
+		await this.#clock.sleep(balancerRemovalMs);
 		const leftMs = this.#settings.shutdownMs - exitMarginMs - (this.#clock.now() - startedAt);
 		await Promise.race([Promise.all([this.#server.close(), handedOver]), this.#clock.sleep(leftMs)]);
 		this.#lifecycle.send('drained');
@@ -368,7 +368,7 @@
 		});
 	}
 
-	#measure() {
+	#recordGauges() {
 		const metrics = this.#metrics;
 		const now = this.#clock.now();
 		metrics.gauge('gateway.callsUnderWay', this.#server.activeCalls);
--- a/src/gateway/gateway-tables.steps.ts
+++ b/src/gateway/gateway-tables.steps.ts
@@ -63,9 +63,9 @@
 	return api.create('BatchRecord', recordNames.page(page.job, number), page);
 };
 
-const admitted = (jobIndex: JobIndex): string[] => [...jobIndex.all].filter(({isAdmitted}) => isAdmitted).map(({id}) => id as string);
+const admittedJobs = (jobIndex: JobIndex): string[] => [...jobIndex.all].filter(({isAdmitted}) => isAdmitted).map(({id}) => id as string);
 
-const followed = (world: TablesWorld): JobIndex => {
+const followRecords = (world: TablesWorld): JobIndex => {
 	const feed = feedOf(world, 'BatchRecord');
 	const jobIndex = new JobIndex(feed);
 	feed.start();
@@ -76,7 +76,7 @@
 	this.api = new FakeObjectApi();
 	this.limit = limit;
 	// This process follows from the first record on and receives each one separately.
-	this.jobIndex = followed(this);
+	this.jobIndex = followRecords(this);
 });
 
 Given('jobs {string} of {int} tokens each are written', async function (this: TablesWorld, names: string, tokens: number) {
@@ -111,22 +111,22 @@
 });
 
 Then('a process that lists the records admits {string}', async function (this: TablesWorld, names: string) {
-	const jobIndex = followed(this);
+	const jobIndex = followRecords(this);
 	await until(() => jobIndex.isKnown, 'the records are known');
-	assert.deepEqual(admitted(jobIndex), listOf(names));
+	assert.deepEqual(admittedJobs(jobIndex), listOf(names));
 });
 
-const followerAdmits = async ({jobIndex}: TablesWorld, names: string) => {
-	await until(() => admitted(jobIndex).length >= listOf(names).length, `${names} are admitted`);
-	assert.deepEqual(admitted(jobIndex), listOf(names));
+const assertFollowerAdmits = async ({jobIndex}: TablesWorld, names: string) => {
+	await until(() => admittedJobs(jobIndex).length >= listOf(names).length, `${names} are admitted`);
+	assert.deepEqual(admittedJobs(jobIndex), listOf(names));
 };
 
 Then('a process that follows the records admits {string}', async function (this: TablesWorld, names: string) {
-	await followerAdmits(this, names);
+	await assertFollowerAdmits(this, names);
 });
 
 Then('that process admits {string}', async function (this: TablesWorld, names: string) {
-	await followerAdmits(this, names);
+	await assertFollowerAdmits(this, names);
 });
 
 Then('a process that follows the records has {int} result(s) of {string}', async function (this: TablesWorld, count: number, job: string) {
@@ -194,17 +194,17 @@
 	await this.api.create('Registration', name, {...registrationOf(name), startedAt});
 });
 
-const writeAnew = async ({api}: TablesWorld, name: string) => {
+const renewRegistration = async ({api}: TablesWorld, name: string) => {
 	const entry = api.all('Registration').find(({name: own}) => own === name)!;
 	await api.update('Registration', name, registrationOf(name), entry.version);
 };
 
 When('{string} renews its registration', async function (this: TablesWorld, name: string) {
-	await writeAnew(this, name);
+	await renewRegistration(this, name);
 });
 
 When('the registration of {string} loses its start time', async function (this: TablesWorld, name: string) {
-	await writeAnew(this, name);
+	await renewRegistration(this, name);
 });
 
 Then('the front still lists replicas {string}', function (this: TablesWorld, names: string) {
@@ -220,7 +220,7 @@
 });
 
 When('the retention time of results is over', async function (this: TablesWorld) {
-	await until(() => admitted(this.jobIndex).length === 2, 'both jobs were read');
+	await until(() => admittedJobs(this.jobIndex).length === 2, 'both jobs were read');
 	this.removed = [];
 	this.api.beforeCall = (call, _kind, name) => {
 		if (call === 'remove') {
@@ -273,8 +273,8 @@
 
 When('its own load changes continuously for longer than the time-out of a peer', async function (this: TablesWorld) {
 	const [replica] = this.directory.all;
-	const longEnough = clock.now() + 1600;
-	while (clock.now() < longEnough) {
+	const endAt = clock.now() + 1600;
+	while (clock.now() < endAt) {
 		this.loads.acquireSlot(replica!, 'online')();
 		await new Promise(resolve => {
 			setTimeout(resolve, 10);
@@ -290,7 +290,7 @@
 type PausedWorld = TestWorld & {manual: ManualClock; peers: PeerTable};
 
 /** Interval at which a front checks for unresponsive peers, in milliseconds. */
-const lookMs = 250;
+const checkIntervalMs = 250;
 
 Given('a front that receives messages of {string}', function (this: PausedWorld, peer: string) {
 	this.manual = new ManualClock();
@@ -309,8 +309,8 @@
 });
 
 When('it receives nothing more for {int} ms', function (this: PausedWorld, ms: number) {
-	Array.from({length: ms / lookMs}).forEach(() => {
-		this.manual.advance(lookMs);
+	Array.from({length: ms / checkIntervalMs}).forEach(() => {
+		this.manual.advance(checkIntervalMs);
 		this.peers.removeUnresponsive();
 	});
 });
--- a/src/gateway/keeper.ts
+++ b/src/gateway/keeper.ts
@@ -36,7 +36,7 @@
 const watchMs = 5000;
 
 /** Interval at which a retiring keeper checks whether it still holds jobs, and repeats an answer that failed; in milliseconds. */
-const emptyingMs = 300;
+const emptyCheckMs = 300;
 
 /** The keeper process. */
 export class Keeper implements RunningProgram {
@@ -69,13 +69,13 @@
 		this.#feed.onSnapshot(items => {
 			this.#isRetiring = false;
 			items.forEach(item => {
-				void this.#answer(item);
+				void this.#answerRetirement(item);
 			});
 		});
 		this.#feed.onChanges(events => {
 			this.#isRetiring &&= !events.some(({type, name}) => type === 'delete' && name === settings.name);
 			events.filter(({type}) => type === 'put').forEach(({name, version, value, kind}) => {
-				void this.#answer({
+				void this.#answerRetirement({
 					name, version, value, kind,
 				});
 			});
@@ -129,7 +129,7 @@
 
 	From the request on no more jobs are accepted: the VM may be removed with its disk right after the answer, and a job accepted in between would be lost with it. The write is conditional, so that the answer applies to the request as it was read. A write that the object API did not accept is repeated, or the VM would never be removed.
 	*/
-	async #answer({name, version, value}: StoredObject): Promise<void> {
+	async #answerRetirement({name, version, value}: StoredObject): Promise<void> {
 		const {api, records, clock, log} = this.#parts;
 		// This keeper's own answer is received as a change of the request.
 		if (name !== this.#settings.name || version <= this.#answeredVersion || records.readRetirement(value).isLeft()) {
@@ -138,12 +138,12 @@
 
 		this.#isRetiring = true;
 		while (this.#held.size > 0) {
-			await clock.sleep(emptyingMs);
+			await clock.sleep(emptyCheckMs);
 		}
 
 		let answered = await api.update('Retirement', name, records.retirementDone, version);
-		while (isPassing(errorOf(answered)) && !this.#lifecycle.isLeaving) {
-			await clock.sleep(emptyingMs);
+		while (isTransient(errorOf(answered)) && !this.#lifecycle.isLeaving) {
+			await clock.sleep(emptyCheckMs);
 			answered = await api.update('Retirement', name, records.retirementDone, version);
 		}
 
@@ -155,4 +155,4 @@
 }
 
 /** Whether a failed write is worth repeating. After a conflict the changed request is received through the feed, and one that was removed needs no answer. */
-const isPassing = (err: ApiError | undefined): boolean => err?.kind === 'unavailable' || err?.kind === 'unknown';
+const isTransient = (err: ApiError | undefined): boolean => err?.kind === 'unavailable' || err?.kind === 'unknown';
--- a/src/gateway/load-board.ts
+++ b/src/gateway/load-board.ts
@@ -30,10 +30,10 @@
 	*/
 	acquireSlot(replica: Replica, kind: LoadKind): () => void {
 		this.#add(replica, kind, 1);
-		let isTaken = true;
+		let isHeld = true;
 		return () => {
-			if (isTaken) {
-				isTaken = false;
+			if (isHeld) {
+				isHeld = false;
 				this.#add(replica, kind, -1);
 			}
 		};
