--- a/src/gateway/attempt.steps.ts
+++ b/src/gateway/attempt.steps.ts
@@ -59,7 +59,7 @@
 	}
 
 	closeIdleSiblings(): void {
-		this.done.push('siblings renewed');
+		this.done.push('idle siblings closed');
 	}
 
 	send(): void {
@@ -189,5 +189,5 @@
 });
 
 Then('the other idle connections to the replica are closed', function (this: AttemptWorld) {
-	assert.ok(this.attemptConnection.done.includes('siblings renewed'));
+	assert.ok(this.attemptConnection.done.includes('idle siblings closed'));
 });
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -109,7 +109,7 @@
 		return this.#completeness[this.#mode]();
 	}
 
-	/** Starts the answer of a run. Once anything was sent to the caller, the head of the run that it came from stays. */
+	/** Starts forwarding a run's answer. Once a head was sent to the caller, that head stays and only events can follow. */
 	begin(head: AnswerHead): void {
 		this.#buffered = [];
 		if (this.hasBegun) {
--- a/src/gateway/event-framer.steps.ts
+++ b/src/gateway/event-framer.steps.ts
@@ -20,14 +20,14 @@
 	processorMs: number;
 };
 
-const feedAll = (framer: EventFramer, pieces: readonly string[]): FramedStream => {
-	const forwarded = pieces.map(piece => framer.feed(Buffer.from(piece)).toString());
+const feedAll = (framer: EventFramer, chunks: readonly string[]): FramedStream => {
+	const forwarded = chunks.map(chunk => framer.feed(Buffer.from(chunk)).toString());
 	const end = new EventBoundaryTracker();
-	pieces.forEach(piece => {
-		end.feed(Buffer.from(piece));
+	chunks.forEach(chunk => {
+		end.feed(Buffer.from(chunk));
 	});
-	assert.equal(end.isWithinEvent, framer.hasPartialEvent, JSON.stringify(pieces));
-	return {sent: pieces.join(''), forwarded: forwarded.join('') + framer.remainder.toString(), isWithinEvent: framer.hasPartialEvent};
+	assert.equal(end.isWithinEvent, framer.hasPartialEvent, JSON.stringify(chunks));
+	return {sent: chunks.join(''), forwarded: forwarded.join('') + framer.remainder.toString(), isWithinEvent: framer.hasPartialEvent};
 };
 
 const lineEndOf = (lines: string): string => lines.replaceAll(String.raw`\r`, '\r').replaceAll(String.raw`\n`, '\n');
@@ -66,11 +66,11 @@
 });
 
 When('an event of {int} MB arrives in chunks of {int} kB and is {word}', function (this: FramerWorld, megabytes: number, kilobytes: number, passing: 'held' | 'followed') {
-	const piece = Buffer.alloc(kilobytes * 1024, 'a');
+	const chunk = Buffer.alloc(kilobytes * 1024, 'a');
 	const splitter = passing === 'held' ? new EventFramer(0) : new EventBoundaryTracker();
 	const before = process.cpuUsage();
 	Array.from({length: megabytes * 1024 / kilobytes}).forEach(() => {
-		splitter.feed(piece);
+		splitter.feed(chunk);
 	});
 	const {user, system} = process.cpuUsage(before);
 	this.processorMs = (user + system) / 1000;
--- a/src/gateway/gateway-tables.steps.ts
+++ b/src/gateway/gateway-tables.steps.ts
@@ -100,7 +100,7 @@
 });
 
 Given('a process follows the records', async function (this: TablesWorld) {
-	await until(() => this.jobIndex.isKnown, 'the records are known');
+	await until(() => this.jobIndex.isKnown, 'the records were read');
 });
 
 When('the object API discards its history while the process cannot reach it', async function (this: TablesWorld) {
@@ -112,7 +112,7 @@
 
 Then('a process that lists the records admits {string}', async function (this: TablesWorld, names: string) {
 	const jobIndex = followRecords(this);
-	await until(() => jobIndex.isKnown, 'the records are known');
+	await until(() => jobIndex.isKnown, 'the records were read');
 	assert.deepEqual(admittedJobs(jobIndex), listOf(names));
 });
 
@@ -212,11 +212,11 @@
 });
 
 Then('the front soon lists replicas {string}', async function (this: TablesWorld, names: string) {
-	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are listed`);
 });
 
 Then('{int} seconds later the front lists replicas {string}', async function (this: TablesWorld, _seconds: number, names: string) {
-	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are listed`);
 });
 
 When('the retention time of results is over', async function (this: TablesWorld) {
