--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,5 +1,5 @@
 /**
-One attempt to have a replica run a call: the request on one connection, and what came of it. It tells apart what a caller may be told: that the replica has certainly not run the call, or that only the replica knows.
+One attempt at running a call on a replica: the request on one connection, and its outcome. The outcome separates attempts that certainly did not run the call from those where only the replica knows whether it ran; a caller may be told only of the former that the call has not run. Online calls and batch items both use it.
 */
 import type {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
@@ -9,12 +9,12 @@
 import type {ReplicaConnection} from './replica-connection-pool.js';
 import type {AnswerFields, AttemptFields, CallDialect} from './types.js';
 
-/** What is sent, the same for each attempt of a call. */
+/** The request as it is sent, identical for each attempt of a call. */
 export type CallMessage = {
 	readonly method: string;
 	/** Path and query. */
 	readonly target: string;
-	/** The caller's, as names and values by turns. */
+	/** The caller's headers, as alternating names and values. */
 	readonly headers: readonly string[];
 	readonly body?: Buffer;
 };
@@ -23,18 +23,18 @@
 export type AnswerHead = {
 	readonly status: number;
 	readonly statusMessage: string;
-	/** Names and values by turns, as the replica sent them. */
+	/** Alternating names and values, as the replica sent them. */
 	readonly rawHeaders: string[];
-	/** Lower-case names. */
+	/** Keyed by lower-case name. */
 	readonly headers: NodeJS.Dict<string | string[]>;
-	/** False when only the end of the connection ends the answer. */
+	/** False when only the end of the connection delimits the answer. */
 	readonly isFramed: boolean;
 };
 
 /**
 How an attempt ended.
 
-`notSent`: no byte of the call can have reached the replica. `refused`: the replica states that it has not run it. `misdirected`: another replica has the address. `silent`, `cutOff` and `lost`: only the replica knows; `cutOff` where it can no longer be reached. `outdated`: no byte was sent, since the replica may have left while its connection was made. `complete`: the whole answer came. `dropped`: this side gave the attempt up.
+`notSent`: no byte of the call can have reached the replica. `refused`: the replica states that it has not run the call. `misdirected`: the address belongs to another replica. `silent`, `cutOff` and `lost`: only the replica knows whether the call ran; `silent` means that the inactivity time-out expired, `cutOff` that the replica can no longer be reached. `outdated`: no byte was sent, because the replica may have left while the connection was being made. `complete`: the complete answer was received. `dropped`: the attempt was disposed of by this process.
 */
 export type AttemptEnd
 	= | {readonly kind: 'notSent'; readonly reason: string}
@@ -47,25 +47,25 @@
 		| {readonly kind: 'complete'}
 		| {readonly kind: 'dropped'};
 
-/** Hears of an attempt: a head, bytes, an end, in this order; `onEnd` exactly once. */
+/** Receives the events of an attempt: head, bytes and end, in this order; `onEnd` is called exactly once. */
 export type AttemptListener = {
 	onHead(head: AnswerHead): void;
 	onBytes(bytes: Buffer): void;
 	onEnd(end: AttemptEnd): void;
 };
 
-/** How long an attempt waits, in milliseconds. */
+/** When an attempt is aborted for lack of data. */
 export type AttemptTimeouts = {
-	/** From when the request was sent on, without a byte. */
+	/** Milliseconds without a byte, counted from when the request was sent. */
 	readonly silenceMs: number;
-	/** Whether the call can go on elsewhere, so that nothing is gained by waiting for a replica that cannot be reached. Any other call waits: its replica's answer may still come. */
+	/** Whether the call can continue at another replica, so that nothing is gained by waiting for one that cannot be reached. Any other call waits: its replica's answer may still arrive. */
 	readonly canGoElsewhere: boolean;
 };
 
-/** What an attempt uses of a connection. */
+/** The part of a replica's connection that an attempt uses. */
 export type AttemptConnection = Pick<ReplicaConnection, 'isNew' | 'dispatch' | 'wasReset' | 'release' | 'discard' | 'closeIdleSiblings'>;
 
-/** What an attempt is made of. */
+/** Dependencies and parameters of an attempt. */
 export type AttemptParts = {
 	readonly connection: AttemptConnection;
 	readonly reachability: AttemptReachability;
@@ -74,27 +74,27 @@
 	readonly message: CallMessage;
 	readonly fields: AttemptFields;
 	readonly timeouts: AttemptTimeouts;
-	/** Whether the replica may still be sent work; asked once more when its connection has been made. */
+	/** Whether the replica may still be sent work; checked again once a new connection has been made. */
 	readonly isEligible: () => boolean;
 	readonly listener: AttemptListener;
 };
 
 const misdirectedStatus = 421;
 
-/** Of a limit of silence, this part must be time in which this process ran; the rest may have passed in pauses, in which the replica could answer. */
-const leastRunningShare = 1 / 2;
+/** Share of the inactivity time-out in which this process must have been running. The rest may have passed in pauses of the process, during which the replica could have answered. */
+const minRunningShare = 1 / 2;
 
-const textOf = (headers: unknown): string[] => (headers as readonly Buffer[]).map(String);
+const toStrings = (headers: unknown): string[] => (headers as readonly Buffer[]).map(String);
 
-/** See the module's head. */
+/** A single attempt: started once, and over after its listener's `onEnd`. */
 export class Attempt implements Disposable {
 	readonly #parts: AttemptParts;
-	#timer: NodeJS.Timeout | undefined;
-	#silenceTimer: NodeJS.Timeout | undefined;
-	/** Without a byte, in milliseconds of running time; counted in steps, when the timer fires. */
-	#silentMs = 0;
-	/** Since when there was no byte, in milliseconds on the monotonic clock. */
-	#silentSince = 0;
+	#connectTimer: NodeJS.Timeout | undefined;
+	#inactivityTimer: NodeJS.Timeout | undefined;
+	/** Milliseconds without a byte while this process was running; counted in steps, when the timer fires. */
+	#inactiveMs = 0;
+	/** When the last byte arrived, in milliseconds on the monotonic clock. */
+	#lastByteAt = 0;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isSent = false;
 	#isOver = false;
@@ -109,41 +109,41 @@
 		return this.#isOver;
 	}
 
-	/** Sends. The end may be told before this returns. */
+	/** Sends the request. `onEnd` may be called before this returns. */
 	start(): void {
-		const connectMs = Math.round(this.#parts.reachability.connectTimeoutMs);
-		this.#timer = setTimeout(() => {
-			// After a pause of this process, the connection may have been made and not been looked at yet: timers come before sockets.
+		const connectTimeoutMs = Math.round(this.#parts.reachability.connectTimeoutMs);
+		this.#connectTimer = setTimeout(() => {
+			// After a pause of this process, the connection may have been made but not been handled yet: the event loop runs timers before sockets.
 			setImmediate(() => {
 				if (!this.#isSent) {
-					this.#giveUp({kind: 'notSent', reason: `no connection within ${connectMs} ms`});
+					this.#abort({kind: 'notSent', reason: `no connection within ${connectTimeoutMs} ms`});
 				}
 			});
-		}, connectMs);
+		}, connectTimeoutMs);
 		this.#send();
 	}
 
-	/** Reads no more until `resume`, so that a slow caller does not fill this process's memory. */
+	/** Stops reading until `resume`, so that a slow caller does not fill this process's memory. */
 	pause(): void {
 		this.#controller?.pause();
-		clearTimeout(this.#silenceTimer);
-		this.#silenceTimer = undefined;
-		this.#silentMs = 0;
+		clearTimeout(this.#inactivityTimer);
+		this.#inactivityTimer = undefined;
+		this.#inactiveMs = 0;
 	}
 
 	resume(): void {
 		this.#controller?.resume();
-		this.#watchSilence();
+		this.#restartInactivityTimer();
 	}
 
 	/** Closes the connection, so that the replica stops its work at once. */
 	dispose(): void {
-		this.#giveUp({kind: 'dropped'});
+		this.#abort({kind: 'dropped'});
 	}
 
 	#send() {
 		const {
-			connection, dialect, message, fields, reachability: contact, clock,
+			connection, dialect, message, fields, reachability, clock,
 		} = this.#parts;
 		const startedAt = clock.now();
 		const {isNew} = connection;
@@ -156,22 +156,22 @@
 		}, {
 			onRequestStart: controller => {
 				if (isNew && !this.#parts.isEligible()) {
-					this.#giveUp({kind: 'outdated'});
-					controller.abort(new Error('the replica may have left'));
+					this.#abort({kind: 'outdated'});
+					controller.abort(new Error('the replica may have left while the connection was being made'));
 					return;
 				}
 
 				this.#controller = controller;
 				this.#isSent = true;
-				clearTimeout(this.#timer);
+				clearTimeout(this.#connectTimer);
 				if (isNew) {
-					contact.noteConnected(clock.now() - startedAt);
+					reachability.noteConnected(clock.now() - startedAt);
 				}
 
-				this.#watchSilence();
+				this.#restartInactivityTimer();
 			},
 			onResponseStart: (controller, status, answerHeaders, statusMessage) => {
-				this.#onHead(status, answerHeaders, textOf(controller.rawHeaders), statusMessage ?? '');
+				this.#onHead(status, answerHeaders, toStrings(controller.rawHeaders), statusMessage ?? '');
 			},
 			onResponseData: (_controller, bytes) => {
 				this.#onBytes(bytes);
@@ -185,53 +185,53 @@
 		});
 	}
 
-	#watchSilence() {
+	#restartInactivityTimer() {
 		if (this.#isOver) {
 			return;
 		}
 
-		this.#silentMs = 0;
-		this.#silentSince = this.#parts.clock.now();
-		if (this.#silenceTimer) {
-			this.#silenceTimer.refresh();
+		this.#inactiveMs = 0;
+		this.#lastByteAt = this.#parts.clock.now();
+		if (this.#inactivityTimer) {
+			this.#inactivityTimer.refresh();
 			return;
 		}
 
-		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs: suspectMs}} = this.#parts;
-		const stepMs = canGoElsewhere ? Math.min(suspectMs, silenceMs) : silenceMs;
-		this.#silenceTimer = setTimeout(() => {
-			this.#silentMs += stepMs;
-			// What came within a pause of this process is looked at first.
+		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs}} = this.#parts;
+		const stepMs = canGoElsewhere ? Math.min(probeAfterMs, silenceMs) : silenceMs;
+		this.#inactivityTimer = setTimeout(() => {
+			this.#inactiveMs += stepMs;
+			// Data that arrived during a pause of this process is handled first.
 			setImmediate(() => {
-				this.#onSilence();
+				this.#onInactivity();
 			});
 		}, stepMs);
 	}
 
-	#onSilence() {
+	#onInactivity() {
 		const {silenceMs} = this.#parts.timeouts;
-		if (this.#isOver || this.#silentMs === 0) {
+		if (this.#isOver || this.#inactiveMs === 0) {
 			return;
 		}
 
-		if (this.#isSilentFor(silenceMs)) {
-			this.#giveUp({kind: 'silent', reason: `no byte within ${silenceMs} ms`});
+		if (this.#isInactiveFor(silenceMs)) {
+			this.#abort({kind: 'silent', reason: `no byte within ${silenceMs} ms`});
 			return;
 		}
 
-		this.#silenceTimer?.refresh();
-		void this.#suspect();
+		this.#inactivityTimer?.refresh();
+		void this.#checkReachability();
 	}
 
-	#isSilentFor(ms: number): boolean {
-		const elapsedMs = this.#parts.clock.now() - this.#silentSince;
-		return this.#silentMs >= ms || (this.#silentMs >= leastRunningShare * ms && elapsedMs >= ms);
+	#isInactiveFor(ms: number): boolean {
+		const elapsedMs = this.#parts.clock.now() - this.#lastByteAt;
+		return this.#inactiveMs >= ms || (this.#inactiveMs >= minRunningShare * ms && elapsedMs >= ms);
 	}
 
-	async #suspect() {
+	async #checkReachability() {
 		const isReachable = await this.#parts.reachability.isReachable();
-		if (!isReachable && this.#silentMs > 0) {
-			this.#giveUp({kind: 'cutOff', reason: `no byte within ${Math.round(this.#silentMs)} ms, and no connection can be made`});
+		if (!isReachable && this.#inactiveMs > 0) {
+			this.#abort({kind: 'cutOff', reason: `no byte within ${Math.round(this.#inactiveMs)} ms, and no connection can be made`});
 		}
 	}
 
@@ -240,11 +240,11 @@
 			return;
 		}
 
-		this.#noteBytes();
+		this.#onActivity();
 		const fields = this.#parts.dialect.readAnswer(status, headers);
 		if (!this.#isOwnAnswer(fields)) {
-			// A replica may send a second answer late, where the next one is due. The connection's answers no longer match its requests.
-			this.#giveUp({kind: 'lost', reason: 'the answer belongs to another call'});
+			// A replica may send a second answer late, in the place of the next one. From then on, the connection's answers no longer match its requests.
+			this.#abort({kind: 'lost', reason: 'the answer belongs to another call'});
 			return;
 		}
 
@@ -276,13 +276,13 @@
 			return;
 		}
 
-		this.#noteBytes();
+		this.#onActivity();
 		this.#parts.listener.onBytes(bytes);
 	}
 
-	#noteBytes() {
+	#onActivity() {
 		this.#parts.reachability.noteBytes();
-		this.#watchSilence();
+		this.#restartInactivityTimer();
 	}
 
 	#onResponseEnd() {
@@ -297,7 +297,7 @@
 		}
 	}
 
-	/** Only the way in which the connection ended tells whether an answer without a length is whole. */
+	/** Whether an answer without a length is complete shows only in the way in which its connection ended. */
 	async #endUnframed() {
 		const wasReset = await this.#parts.connection.wasReset();
 		if (this.#isOver) {
@@ -305,7 +305,7 @@
 		}
 
 		if (wasReset) {
-			this.#giveUp({kind: 'lost', reason: 'reset within an answer without a length'});
+			this.#abort({kind: 'lost', reason: 'reset within an answer without a length'});
 		} else {
 			this.#complete();
 		}
@@ -318,15 +318,15 @@
 
 	#onError(err: Error) {
 		const reason = (err as {code?: string}).code ?? err.message;
-		this.#giveUp(this.#isSent && !isBeforeSending(err) ? {kind: 'lost', reason} : {kind: 'notSent', reason});
+		this.#abort(this.#isSent && !isBeforeSending(err) ? {kind: 'lost', reason} : {kind: 'notSent', reason});
 	}
 
-	#giveUp(end: AttemptEnd) {
+	#abort(end: AttemptEnd) {
 		if (this.#isOver) {
 			return;
 		}
 
-		// Closing the connection fails the request, and the failure is told at once: the end must have been decided by then, or it would be told twice and the call sent on twice.
+		// Closing the connection fails the request, and that failure is reported synchronously. The attempt must be marked as over before, or its end would be reported twice and the call be retried twice.
 		this.#isOver = true;
 		const {connection} = this.#parts;
 		connection.discard();
@@ -339,8 +339,8 @@
 
 	#end(end: AttemptEnd) {
 		this.#isOver = true;
-		clearTimeout(this.#timer);
-		clearTimeout(this.#silenceTimer);
+		clearTimeout(this.#connectTimer);
+		clearTimeout(this.#inactivityTimer);
 		this.#parts.listener.onEnd(end);
 	}
 }
--- a/src/gateway/feed-freshness.steps.ts
+++ b/src/gateway/feed-freshness.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the freshness of objects, with a feed that the steps answer for and a clock that they set.
+Steps for the freshness of objects, with a fake feed and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {EventEmitter, once} from 'node:events';
@@ -14,11 +14,11 @@
 
 type FreshnessWorld = TestWorld & {
 	now: number;
-	freshAt: number;
-	awayAt: number | undefined;
+	confirmedAt: number;
+	lastFailedCallAt: number | undefined;
 	revision: Revision | undefined;
 	reads: number;
-	/** What the next reads come to. */
+	/** Outcome of the next reads. */
 	read: () => Promise<boolean>;
 	answers: EventEmitter;
 	/** Answers the read that was not answered in time. */
@@ -29,7 +29,7 @@
 };
 
 const log: EventLog = {emit: () => undefined};
-const mostAgeMs = 1900;
+const maxAgeMs = 1900;
 const revision = 1 as Revision;
 
 const clockOf = (world: FreshnessWorld): Clock => ({now: () => world.now, wall: () => world.now, sleep: async () => undefined});
@@ -49,36 +49,36 @@
 	} as unknown as ObjectFeed,
 	reachability: {
 		get lastFailedCallAt() {
-			return world.awayAt;
+			return world.lastFailedCallAt;
 		},
 		onAnswer(listener) {
 			world.answers.on('answer', listener);
 		},
 	},
-	lastConfirmedAt: () => world.freshAt,
+	lastConfirmedAt: () => world.confirmedAt,
 	clock: clockOf(world),
 	log,
-	maxAgeMs: mostAgeMs,
+	maxAgeMs,
 });
 
-Given('objects that were confirmed just now', function (this: FreshnessWorld) {
+Given('objects that were just confirmed', function (this: FreshnessWorld) {
 	this.now = 10_000;
-	this.freshAt = this.now;
-	this.awayAt = undefined;
+	this.confirmedAt = this.now;
+	this.lastFailedCallAt = undefined;
 	this.revision = revision;
 	this.reads = 0;
 	this.answers = new EventEmitter();
 	this.read = async () => {
-		this.freshAt = this.now;
+		this.confirmedAt = this.now;
 		return true;
 	};
 
 	this.freshness = freshnessOf(this);
 });
 
-Given('no objects are known', function (this: FreshnessWorld) {
+Given('no objects were read yet', function (this: FreshnessWorld) {
 	this.revision = undefined;
-	this.freshAt = -Infinity;
+	this.confirmedAt = -Infinity;
 });
 
 const feedWith = (world: FreshnessWorld, api: Partial<ObjectApi>) => {
@@ -88,7 +88,7 @@
 		log,
 		progress: {
 			get readUntil() {
-				return world.freshAt;
+				return world.confirmedAt;
 			},
 		},
 	}, 'Registration', {waitMs: 1000, mayLag: false}));
@@ -101,7 +101,7 @@
 
 const list = async () => Right({items: [], version: revision, more: false});
 
-Given('a feed whose list was read {int} ms after it was asked for', async function (this: FreshnessWorld, ms: number) {
+Given('a feed whose list was read {int} ms after it was requested', async function (this: FreshnessWorld, ms: number) {
 	feedWith(this, {
 		list: async () => {
 			this.now += ms;
@@ -109,7 +109,7 @@
 		},
 		watch: async () => never,
 	});
-	await until(() => this.feed.revision !== undefined, 'the list is known');
+	await until(() => this.feed.revision !== undefined, 'the list was read');
 });
 
 Given('a feed whose watch was answered, with the sockets last read {int} ms ago', async function (this: FreshnessWorld, ms: number) {
@@ -123,7 +123,7 @@
 			}
 
 			this.now += 5000;
-			this.freshAt = this.now - ms;
+			this.confirmedAt = this.now - ms;
 			return Right({version: revision, events: []});
 		},
 	});
@@ -139,7 +139,7 @@
 });
 
 When('the object API has failed a call that began {int} ms ago', function (this: FreshnessWorld, ms: number) {
-	this.awayAt = this.now - ms;
+	this.lastFailedCallAt = this.now - ms;
 });
 
 When('a call waits for a read that is not answered', async function (this: FreshnessWorld) {
@@ -175,7 +175,7 @@
 	await failOnce(this);
 });
 
-When('a call waits for a read that fails, and meanwhile the read before is answered, and the object API answers another call', async function (this: FreshnessWorld) {
+When('a call waits for a read that fails, and meanwhile the previous read is answered, and the object API answers another call', async function (this: FreshnessWorld) {
 	await failOnce(this, this.answerLate);
 });
 
@@ -199,10 +199,10 @@
 	assert.equal(this.reads, times);
 });
 
-Then('it has waited between {int} and {int} ms', function (this: FreshnessWorld, least: number, most: number) {
-	assert.ok(this.waitedMs >= least && this.waitedMs <= most, String(this.waitedMs));
+Then('it has waited between {int} and {int} ms', function (this: FreshnessWorld, minMs: number, maxMs: number) {
+	assert.ok(this.waitedMs >= minMs && this.waitedMs <= maxMs, String(this.waitedMs));
 });
 
-Then('what it knows is {int} ms old', function (this: FreshnessWorld, ms: number) {
+Then('its objects are {int} ms old', function (this: FreshnessWorld, ms: number) {
 	assert.equal(this.now - this.feed.currentAsOf, ms);
 });
