--- a/src/common/account-slots.ts
+++ b/src/common/account-slots.ts
@@ -1,5 +1,5 @@
 /**
-Counts how many places of the backend server each client account holds, and how many its share would give it among the accounts that were active a moment ago. Fair order in the queue is not enough: once an account has filled the places, a request of another waits for one of them to end, however short the queue is.
+Counts the slots of the backend server that each client account holds, and the slots that its share entitles it to among the accounts active within the last two seconds. A fair order in the queue is not sufficient: once one account has filled all slots, a request of another account waits until one of them ends, however short the queue is.
 */
 import type {AccountName} from './ids.js';
 import type {QueueItem} from './fair-queue.js';
@@ -8,13 +8,13 @@
 type Slots = {share: number; running: number; prefilling: number; seenAt: number};
 
 const activeMs = 2000;
-/** Of the places, the part that an account over its share leaves free while others are active. */
+/** Share of the slots that an account over its share leaves free while others are active. */
 export const headroomShare = 0.25;
 
-// Requests of an account that keeps to its share come in bursts too.
+// Accounts that stay within their share also send requests in bursts.
 const burstFactor = 2;
 
-/** Places by account. */
+/** Tracks the slots of each account. */
 export class AccountSlots {
 	readonly #clock: Clock;
 	readonly #maxRunning: number;
@@ -28,7 +28,7 @@
 		this.#maxRunning = maxRunning;
 	}
 
-	/** Counts an account among the active ones for a moment. */
+	/** Marks an account as active for the next two seconds. */
 	recordActivity({account, share}: QueueItem): void {
 		this.#prune();
 		const slots = this.#slotsOf(account);
@@ -43,7 +43,7 @@
 		slots.prefilling += 1;
 	}
 
-	/** The prompt is computed. */
+	/** Records that the prompt of a request has been computed. */
 	prefilled({account}: QueueItem): void {
 		this.#slotsOf(account).prefilling -= 1;
 	}
@@ -55,7 +55,7 @@
 		slots.prefilling -= hadToken ? 0 : 1;
 	}
 
-	/** True when the account's next request would take more than twice its share of the places, while other accounts are active. */
+	/** True when the account's next request would take more than twice its share of the slots, while other accounts are active. */
 	isOverShare({account}: QueueItem): boolean {
 		const slots = this.#slotsOf(account);
 		const fair = Math.min(Math.ceil(this.#maxRunning * slots.share / this.#shares * burstFactor), this.#maxRunning * (1 - headroomShare));
--- a/src/common/admission.ts
+++ b/src/common/admission.ts
@@ -1,7 +1,7 @@
 /**
-Decides what the backend server gets next. A model engine knows no priorities and admits work as it arrives, so it is never given more than it runs at once: online work first, batch work in the room that is left and as far as the {@link BatchPacer} allows, and a batch item is taken back when online work waits.
+Decides which work the backend server runs next. A model engine has no priorities and admits work as it arrives, so it is never given more than it runs at once: online work first, then batch work in the remaining slots as far as the {@link BatchPacer} allows. A batch item is preempted when online work waits.
 
-The class does no I/O. Callers offer work and report its progress and end; the steps to carry out come back from `steps`.
+The class does no I/O. Callers offer work and report its progress and end; `steps` returns the steps to carry out.
 */
 import {AccountSlots, headroomShare} from './account-slots.js';
 import {
@@ -16,9 +16,9 @@
 import type {Clock} from './services.js';
 
 const defaultBatchWeight = 0.3;
-// Of the places in the backend server, the part that batch work leaves free, so that the first online request of a burst starts without waiting for a cancellation.
+// Share of the backend server's slots that batch work leaves free, so that the first online request of a burst starts without waiting for a cancellation.
 const reservedShare = 1 / 16;
-// An answer that comes after its deadline has cost a place for nothing; a request refused by mistake only goes elsewhere.
+// Estimates err towards refusal: an answer after its deadline has occupied a slot for nothing, while a request refused by mistake only goes to another replica.
 const estimateMargin = 1.2;
 
 /** Queues and the set of running work of one backend server. */
@@ -64,7 +64,7 @@
 		return this.#queues.batch.length + this.#longPrompts.length;
 	}
 
-	/** Tokens of online work that is queued or running, less those that running work has got already. */
+	/** Tokens of online work that is queued or running, less those already generated. */
 	get pendingTokens(): number {
 		return this.#running.onlineTokensLeft + this.#queues.online.queuedTokens;
 	}
@@ -72,7 +72,7 @@
 	/**
 	Offers work. Call `steps` afterwards, unless the work itself was refused.
 
-	@returns Undefined, or a refusal: of this work, since the queue is full or the wait would outlast the deadline; or of other work, which gives way since its account has more than its share of a full queue.
+	@returns Undefined when the work was queued, or a refusal: of this work, because the queue is full or the wait would exceed the deadline; or of other work, which is displaced because its account has more than its share of a full queue.
 	*/
 	offer(ticket: Ticket): AdmissionStep | undefined {
 		if (ticket.workClass === 'batch') {
@@ -94,7 +94,7 @@
 		return this.#displace(ticket, waitMs);
 	}
 
-	/** Says that the backend server gave tokens of the answer to running work. */
+	/** Records tokens that the backend server generated for running work. Work that is not running is ignored. */
 	progressed(key: string, tokens: number): void {
 		const running = this.#running.get(key);
 		if (!running) {
@@ -107,9 +107,9 @@
 	}
 
 	/**
-	Says that the backend server has done with the work. Call `steps` afterwards.
+	Records the end of running work. Call `steps` afterwards. Work that is not running is ignored.
 
-	@param served - False when it was cancelled or failed, so that its time says nothing of the backend server's rate.
+	@param served - False when it was cancelled or failed; its duration is then left out of the backend server's rate.
 	*/
 	finish(key: string, served = true): void {
 		const running = this.#leave(key);
@@ -123,12 +123,12 @@
 			this.#rate.finished(ticket.costTokens, this.#clock.now() - startedAt);
 		}
 
-		// The account pays what the work has cost, not what it was expected to cost.
+		// The account is charged the actual cost instead of the estimate.
 		const cost = tokens > 0 && ticket.promptTokens !== undefined ? ticket.promptTokens + tokens : ticket.costTokens;
 		this.#queues[ticket.workClass].charge(ticket, cost - ticket.costTokens);
 	}
 
-	/** Says that a preempted item has left the backend server; it waits again. Call `steps` afterwards. */
+	/** Records that a preempted item has left the backend server and queues it again. Call `steps` afterwards. */
 	preempted(key: string): void {
 		const running = this.#leave(key);
 		if (running) {
@@ -137,13 +137,13 @@
 		}
 	}
 
-	/** Takes work out of the queues. False when it does not wait there. */
+	/** Removes work from the queues. False when it is not queued. */
 	withdraw(key: string): boolean {
 		const ticket = this.#queued.get(key);
 		return ticket !== undefined && this.#dequeue(ticket);
 	}
 
-	/** What has to be done now, in order. */
+	/** Returns the steps to carry out now, in order. */
 	steps(): AdmissionStep[] {
 		if (this.onlineRunning > 0 || this.onlineQueued > 0) {
 			this.pacer.recordOnlineActivity();
@@ -199,7 +199,7 @@
 		return running;
 	}
 
-	// A queue that one account has filled must not turn the others away: their first requests would be refused for as long as it sends.
+	// When one account has filled the queue, its newest request is refused instead of another account's: otherwise the others would be refused for as long as it keeps sending.
 	#displace(ticket: Ticket, waitMs: number): AdmissionStep {
 		const surplus = this.#queues.online.evictionCandidateFor(ticket);
 		if (!surplus) {
@@ -221,7 +221,7 @@
 		return ticket.costTokens * this.#rate.msPerToken;
 	}
 
-	// The places in the backend server work off the tokens side by side.
+	// The slots of the backend server process tokens in parallel.
 	#waitMs(ticket: Ticket): number {
 		if (this.onlineQueued === 0 && this.onlineRunning < this.#limits.maxRunning) {
 			return 0;
@@ -237,7 +237,7 @@
 		return ticket.deadlineAt - this.#serviceMs(ticket);
 	}
 
-	// Work that can not be completed before its deadline any more is answered at once: it would take a place from work that can.
+	// Work that can no longer be completed before its deadline is refused at once: it would take a slot from work that can.
 	#expired(): AdmissionStep[] {
 		const now = this.#clock.now();
 		if (now < this.#nextDeadline) {
@@ -283,7 +283,7 @@
 		return this.pacer.isOnlinePresent && ticketPromptTokens(ticket) > this.pacer.prefillTokenLimit && this.#longPrompts.shouldYield(ticket);
 	}
 
-	// An account over its share leaves places free and computes one prompt at a time, else the requests of the others would wait for its requests to end.
+	// An account over its share leaves slots free and computes one prompt at a time, otherwise the requests of other accounts would wait for its requests to end.
 	#mayTakePlace(ticket: Ticket): boolean {
 		return !this.#slots.isOverShare(ticket)
 			|| (this.onlineRunning < this.#limits.maxRunning * (1 - headroomShare) && this.#slots.prefilling(ticket) < 1);
@@ -314,7 +314,7 @@
 		}
 	}
 
-	// The engine would make online work wait behind batch work for as long as that takes; a cancelled item frees its place within a step and is resumed later.
+	// Without preemption the engine would delay online work until batch items end; a cancelled item frees its slot within one step and is resumed later.
 	#preemptions(): AdmissionStep[] {
 		const overLimit = this.batchRunning - this.#preempting.size - this.pacer.limit;
 		const wanted = Math.max(0, this.onlineQueued - this.#preempting.size, overLimit);
--- a/src/common/answer-assembler.ts
+++ b/src/common/answer-assembler.ts
@@ -1,5 +1,5 @@
 /**
-Puts the chunks of a streamed answer together: the whole object for a caller who did not ask for a stream, and the resume point for an engine that goes on where another stopped.
+Assembles the chunks of a streamed answer: into the complete response for a caller who did not request a stream, and into the resume point for an engine that continues where another stopped.
 */
 import {requestedChoices, FinishedChoices} from './finished-choices.js';
 import type {JsonObject, ResumePoint} from './protocol.js';
@@ -11,11 +11,11 @@
 	delta?: Delta;
 	text?: string;
 	finish_reason?: string | null;
-	/** Lists, named otherwise in each of the two completion APIs. */
+	/** Lists of log probabilities; the two completion APIs name them differently. */
 	logprobs?: JsonObject | null;
 };
 
-/** A chunk as engines send it, the parts that are read here. */
+/** The fields of an engine's chunk that are read here. */
 export type AnswerChunk = {
 	id?: string;
 	object?: string;
@@ -30,7 +30,7 @@
 
 const knownFields = new Set(['role', 'content', 'refusal', 'tool_calls']);
 
-/** Fields of a delta that are not in the API as it was written, for instance `reasoning_content`; without the empty ones. */
+/** Non-empty fields of a delta that are not part of the original API, for instance `reasoning_content`. */
 const otherFields = (delta: Delta): Array<[string, unknown]> => Object.entries(delta)
 	.filter(([name, value]) => !knownFields.has(name) && value !== null && value !== '');
 
@@ -43,12 +43,12 @@
 	readonly logprobs = new Map<string, unknown>();
 	readonly others = new Map<string, unknown>();
 
-	/** True when it holds a text at the most. The resume point is text alone: an engine that gets it would send anything else, a reasoning or a refusal for instance, a second time. */
+	/** True when it holds nothing but text. A resume point carries text only, so an engine that resumes from it would send anything else, for instance reasoning or a refusal, a second time. */
 	get isPlain(): boolean {
 		return this.toolCalls.length === 0 && this.others.size === 0 && this.logprobs.size === 0 && this.refusal === undefined;
 	}
 
-	/** As a whole answer has them. */
+	/** The log probabilities in the form of a complete answer; null when there are none. */
 	get wholeLogprobs(): JsonObject | null {
 		return this.logprobs.size > 0 ? Object.fromEntries(this.logprobs) : null;
 	}
@@ -78,7 +78,7 @@
 		});
 	}
 
-	// Text comes in pieces; of anything else the last value counts.
+	// Strings arrive in pieces and are joined; of any other type the last value counts.
 	#addOther(name: string, value: unknown) {
 		const earlier = this.others.get(name);
 		this.others.set(name, typeof earlier === 'string' && typeof value === 'string' ? earlier + value : value);
@@ -102,23 +102,23 @@
 	#usage: JsonObject | undefined;
 	#tokens = 0;
 
-	/** @param request - What the engine was sent. */
+	/** @param request - The request as sent to the engine. */
 	constructor(request: JsonObject) {
 		this.#wanted = requestedChoices(request);
 		this.#finished = new FinishedChoices(this.#wanted);
 	}
 
-	/** True once the engine gave a reason to finish for every choice that was asked for. */
+	/** True once the engine has sent a finish reason for every requested choice. */
 	get isFinished(): boolean {
 		return this.#finished.isComplete;
 	}
 
-	/** The usage that the engine reported last, if it did. */
+	/** The usage that the engine reported last; undefined before the first report. */
 	get usage(): JsonObject | undefined {
 		return this.#usage;
 	}
 
-	/** Chunks with text so far; engines send a chunk a token. */
+	/** Chunks with content so far; engines send one chunk per token. */
 	get tokens(): number {
 		return this.#tokens;
 	}
@@ -128,7 +128,7 @@
 		return this.#tokens === 0;
 	}
 
-	/** Where another engine can go on; undefined when the answer holds, or will hold, more than the text of one choice. */
+	/** The point from which another engine can resume; undefined when the answer holds, or will hold, more than the text of one choice. */
 	get resumePoint(): ResumePoint | undefined {
 		const first = this.#choices.get(0);
 		return (first?.isPlain ?? true) && this.#wanted === 1 && this.#choices.size <= 1 ? {text: first?.text ?? '', tokens: this.#tokens} : undefined;
@@ -147,7 +147,7 @@
 		});
 	}
 
-	/** Forgets what was collected, for an answer that starts again. */
+	/** Discards what was collected, for an answer that is restarted. */
 	clear(): void {
 		this.#choices.clear();
 		this.#finished = new FinishedChoices(this.#wanted);
@@ -157,9 +157,9 @@
 	}
 
 	/**
-	The whole answer as the engine would have given it without a stream.
+	Returns the complete answer, in the form in which the engine would have sent it without a stream.
 
-	@param id - The id the caller sees.
+	@param id - The id shown to the caller.
 	*/
 	result(id: string): JsonObject {
 		const isChat = (this.#frame.object ?? 'chat.completion.chunk').startsWith('chat');
--- a/src/common/batch-pacer.ts
+++ b/src/common/batch-pacer.ts
@@ -1,15 +1,15 @@
 /**
-Holds batch work back by the harm it does to online work. The engine knows no priorities: every batch item beside an online request lengthens the engine's steps, and the prefill of a batch item that starts lengthens one or a few steps by far more. So two things are paced while online work is present: how many batch items run, by the measured time between online tokens against the same without batch work; and how often a batch item starts, by the measured time that a start takes. Without online work the whole engine is given to batch work.
+Limits batch work by the measured harm it does to online work. The engine has no priorities: every batch item beside an online request lengthens the engine's steps, and the prefill of a batch item that starts lengthens one or a few steps by far more. So two things are limited while online work is present: the number of batch items that run, by the time between online tokens measured with and without batch work; and the rate at which batch items start, by the measured duration of a start. Without online work the whole engine is available to batch work.
 
-The number follows additive increase and multiplicative decrease, as congestion control does: harm is cut at once, room is tried in small steps.
+The number of items follows additive increase and multiplicative decrease, as in congestion control: it is cut at once when online work is harmed, and raised in small steps.
 */
 import type {Clock} from './services.js';
 
-/** How batch work is weighed. */
+/** Settings of the pacer. */
 export type PacerSettings = {
 	/** Requests the backend server runs at once. */
 	readonly maxRunning: number;
-	/** From 0 to 1: 0 spares online work as far as can be, 1 lets batch throughput go first. */
+	/** From 0 to 1: 0 protects online work as far as possible, 1 gives precedence to batch throughput. */
 	readonly batchWeight: number;
 };
 
@@ -31,7 +31,7 @@
 const between = (least: number, most: number, weight: number) => least + ((most - least) * weight);
 const smooth = (mean: number | undefined, value: number) => mean === undefined ? value : mean + (smoothing * (value - mean));
 
-/** Says how much batch work may run and start. */
+/** Determines how much batch work may run and start. */
 export class BatchPacer {
 	readonly #clock: Clock;
 	readonly #settings: PacerSettings;
@@ -69,17 +69,17 @@
 		return this.#isBaselineDue ? 0 : Math.floor(this.#limit);
 	}
 
-	/** True while online work runs, and a moment longer: the next request of a burst must not find the engine full of batch work. */
+	/** True while online work runs, and for 60 ms longer: the next request of a burst must not find the engine full of batch work. */
 	get isOnlinePresent(): boolean {
 		return this.#clock.now() < this.#onlineUntil;
 	}
 
-	/** Prompt tokens of batch items that may be computed at once; bounds how long an online request that comes now waits for them. */
+	/** Prompt tokens of batch items that may be computed at once; bounds how long an arriving online request waits for them. */
 	get prefillTokenLimit(): number {
 		return between(prefillTokensAtLeast, prefillTokensAtMost, this.#settings.batchWeight);
 	}
 
-	/** To be told whenever online work is running or waiting. */
+	/** Records that online work is running or waiting; to be called whenever it is. */
 	recordOnlineActivity(): void {
 		this.#onlineUntil = this.#clock.now() + millisecondsWithoutOnline;
 	}
@@ -89,20 +89,20 @@
 		return !this.isOnlinePresent || this.#clock.now() - this.#lastStartAt >= this.#startGapMs;
 	}
 
-	/** A batch item starts. */
+	/** Records the start of a batch item. */
 	started(): void {
 		this.#lastStartAt = this.#clock.now();
 	}
 
-	/** A batch item has its first token, this long after its start. */
+	/** Records the milliseconds from the start of a batch item to its first token. */
 	recordFirstBatchToken(ms: number): void {
 		this.#startMs = smooth(this.#startMs, ms);
 	}
 
 	/**
-	Online tokens came from the backend server.
+	Records online tokens from the backend server.
 
-	@param ms - Milliseconds since the tokens before them.
+	@param ms - Milliseconds since the previous tokens.
 	@param batchRunning - Batch items in the backend server.
 	*/
 	recordOnlineTokens(ms: number, tokens: number, batchRunning: number): void {
@@ -116,7 +116,7 @@
 		}
 	}
 
-	// Where batch work is always present, online work alone is never seen, and its harm would pass for the engine's own speed. So now and then batch work makes way for a moment.
+	// Where batch work is always present, online work is never measured alone, and the delay caused by batch work would be taken for the engine's own speed. So batch work pauses for a moment whenever the baseline is too old.
 	get #isBaselineDue() {
 		return this.#clock.now() - this.#baselineAt > baselineMaxAgeMs;
 	}
@@ -142,7 +142,7 @@
 		this.#grow(batchRunning);
 	}
 
-	// A limit that is not used proves nothing: it grows only little beyond what runs.
+	// A limit that is not reached has not been tested, so it grows only slightly beyond the number of running items.
 	#grow(batchRunning: number) {
 		const most = Math.min(this.#settings.maxRunning, batchRunning + unusedLimit);
 		this.#limit = Math.max(this.#limit, Math.min(this.#limit + 1, most));
--- a/src/common/batch-types.ts
+++ b/src/common/batch-types.ts
@@ -1,5 +1,5 @@
 /**
-Shapes of a batch job's objects. A file's items are packed into input chunks; each chunk's result is one object that is created once and never changed.
+Types of the objects of a batch job. A file's items are packed into input chunks; each chunk's result is one object that is created once and never changed.
 */
 import type {BatchJobSpec} from '../../typings/resources.js';
 import {
@@ -17,7 +17,7 @@
 	readonly body: JsonObject;
 };
 
-/** An input chunk: kind `InputChunk`, named by its content, so that an upload that is repeated writes nothing anew. */
+/** An input chunk: kind `InputChunk`, named by its content, so that a repeated upload writes no new objects. */
 export type InputChunk = {readonly items: readonly BatchItem[]};
 
 /** An uploaded file: kind `File`, named by account and content. */
@@ -35,11 +35,11 @@
 	readonly items: number;
 	/** Input chunks in order. */
 	readonly chunks: ReadonlyArray<{readonly name: string; readonly items: number}>;
-	/** True once its account deleted it; jobs that were accepted with it still read it. */
+	/** True once its account has deleted it; jobs that were accepted with it still read it. */
 	readonly isDeleted?: boolean;
 };
 
-/** What became of one item. Either `response` or `error` is set. */
+/** The result of one item. Either `response` or `error` is set. */
 export type ItemResult = {
 	readonly id: string;
 	readonly custom_id: string;
@@ -49,7 +49,7 @@
 
 /** The result of a chunk: kind `Result`, see {@link resultName}. Its creation is the commit. */
 export type ChunkResult = {
-	/** Who wrote it: VM, incarnation and run, so that a writer whose answer was lost recognises its own. */
+	/** The writer's VM, incarnation and run, so that a writer that lost the answer to its write recognises its own result. */
 	readonly writer: string;
 	readonly fence: Fence;
 	readonly completed: number;
@@ -66,7 +66,7 @@
 /** States of a job as clients see them. */
 export type JobState = 'validating' | 'in_progress' | 'finalizing' | 'completed' | 'cancelling' | 'cancelled' | 'expired' | 'failed';
 
-/** What the committed chunks of a job add up to, so that a new coordinator need not read their results again. */
+/** Totals of the committed chunks of a job, so that a new coordinator need not read their results again. */
 export type CommittedCounts = {
 	/** The chunks that are counted. */
 	readonly chunks: readonly number[];
@@ -77,7 +77,7 @@
 /** Progress of a job: kind `JobStatus`, named by the job's id. */
 export type JobStatus = {
 	readonly jobId: JobId;
-	/** The `createdTime` of the job this speaks of. A job that was cleaned away and submitted anew has the same id; the old status must not end the new job. */
+	/** The `createdTime` of the job that this status belongs to. A job that was deleted and submitted again has the same id; the old status must not end the new job. */
 	readonly jobCreatedTime?: string;
 	readonly state: JobState;
 	readonly total: number;
@@ -96,16 +96,16 @@
 	readonly fence: Fence;
 };
 
-/** States in which a job changes no more. */
+/** States that a job never leaves. */
 export const terminalStates: ReadonlySet<JobState> = new Set<JobState>(['completed', 'cancelled', 'expired', 'failed']);
 
 const chunkDigits = 6;
 
-/** Where the results of one job are: the start of their names. */
+/** The common prefix of the names of one job's results. */
 export type ResultPrefix = Branded<string, 'ResultPrefix'>;
 
 /**
-The start of the names of a job's results. The id alone does not do: a job that was cleaned away and submitted anew under its key has the same one, and would be complete at once, with the results of the old input.
+Returns the prefix of the names of a job's results. The id alone is not sufficient: a job that was deleted and submitted again under its key has the same id, and would be complete at once, with the results of the old input.
 */
 export const resultPrefix = (jobId: JobId, {createdTime, inputFileId}: Pick<BatchJobSpec, 'createdTime' | 'inputFileId'>): ResultPrefix => branded(`${jobId}/${h64ToString(`${createdTime}/${inputFileId}`)}`);
 
--- a/src/common/cache-mirror.ts
+++ b/src/common/cache-mirror.ts
@@ -1,5 +1,5 @@
 /**
-What the agent knows of its engine's prefix cache, from the engine's numbered events. The events come late and with gaps; after a gap nothing is known any more until blocks are stored anew: it is better to forget a block that is held than to promise one that is not.
+The agent's copy of its engine's prefix cache, built from the engine's numbered events. The events arrive late and with gaps; after a gap the copy is cleared and filled again as blocks are stored: omitting a block that the engine holds is better than announcing one that it does not.
 */
 import type {BlockHash} from './ids.js';
 import type {CacheDrops} from './prefix-index.js';
@@ -13,10 +13,10 @@
 
 type Numbered = {readonly seq: number; readonly blocks: readonly BlockHash[]};
 
-// Reports go out several times a second; an entry that has missed more than this many events starts anew.
+// Reports are sent several times a second; an entry that has missed more than this many events starts over with an empty index.
 const maxRemembered = 256;
 
-/** The engine's blocks, and the changes that entries have not heard of yet. */
+/** The engine's blocks, and the changes that entries may not have received yet. */
 export class CacheMirror {
 	readonly #blocks = new Set<BlockHash>();
 	readonly #handlers: Record<CacheEvent['type'], (event: CacheEvent) => void> = {
@@ -52,7 +52,7 @@
 		return this.#blocks.size;
 	}
 
-	/** Takes over events in the order of their numbers. */
+	/** Applies events in the order of their numbers. */
 	apply(events: readonly CacheEvent[]): void {
 		events.forEach(event => {
 			if (event.seq !== this.#seq + 1) {
@@ -65,19 +65,19 @@
 		this.#trim();
 	}
 
-	/** Forgets everything, for instance when the engine did not answer and may have been restarted. */
+	/** Clears the copy, for instance when the engine did not answer and may have been restarted. */
 	reset(): void {
 		this.#forget(0);
 		this.#seq = 0;
 	}
 
-	/** The blocks of a prompt, from its start, that the engine is known to hold. */
+	/** The longest prefix of a prompt's blocks that the engine is known to hold. */
 	heldPrefix(prompt: readonly BlockHash[]): readonly BlockHash[] {
 		const missing = prompt.findIndex(block => !this.#blocks.has(block));
 		return missing === -1 ? prompt : prompt.slice(0, missing);
 	}
 
-	/** Remembers the last held block of an answered prompt for the next reports: it stands for all before it. */
+	/** Retains the last held block of an answered prompt for the next reports; it implies all blocks before it. */
 	recordAnsweredPrompt(held: readonly BlockHash[]): void {
 		const tail = held.at(-1);
 		if (tail) {
@@ -86,14 +86,14 @@
 		}
 	}
 
-	/** What was dropped, and which prompts were answered, after event `since`. */
+	/** The blocks dropped and the prompts answered after event `since`. */
 	changesSince(since: number): CacheDrops {
 		const isNew = ({seq}: Numbered) => seq > since;
 		return {
 			from: Math.max(since, this.#from),
 			to: this.#seq,
 			blocks: this.#drops.filter(isNew).flatMap(({blocks}) => blocks),
-			// An answered prompt whose blocks were dropped since must not come back by this way.
+			// Answered prompts whose blocks have been dropped since are left out.
 			stored: this.#answers.filter(({seq}) => seq >= since).flatMap(({blocks}) => blocks).filter(block => this.#blocks.has(block)),
 		};
 	}
--- a/src/common/claim.ts
+++ b/src/common/claim.ts
@@ -1,11 +1,11 @@
 /**
-The claim of an idempotency key: an object of the object API that is created before a keyed, non-idempotent request is run. Whoever sends the request again, through any entry, finds it, and learns from it which agent to ask for the answer.
+The claim of an idempotency key: an object of the object API that is created before a keyed, non-idempotent request is run. When the request is sent again, through any entry, the claim shows which agent to ask for the answer.
 */
 import type {VmName} from './ids.js';
 import type {Incarnation} from './protocol.js';
 import type {IssuedAttempt} from './request-ledger.js';
 
-/** Where the request was sent last. */
+/** The attempt that was sent last. */
 export type ClaimedAttempt = IssuedAttempt & {
 	readonly vm: VmName;
 	readonly address: string;
@@ -16,15 +16,15 @@
 export type ClaimedOutcome = {
 	/** The answer's chunks; left out when they are larger than {@link maxClaimedCharacters}. */
 	readonly chunks?: readonly string[];
-	/** The backend server's own error, where it ended so. */
+	/** The backend server's own error, when the request ended with one. */
 	readonly rejected?: {readonly status: number; readonly body: string};
 };
 
 /** The value of a claim. */
 export type ClaimValue = {
-	/** Names the request that wrote the claim, so that it recognises its own write whose answer was lost. */
+	/** Identifies the request that wrote the claim, so that it recognises its own write when the answer to it was lost. */
 	readonly writer: string;
-	/** Of method, path and body: a key that comes with another request is refused. */
+	/** Digest of method, path and body; a key that is reused with another request is refused. */
 	readonly digest: string;
 	readonly attempt: ClaimedAttempt;
 	/** Milliseconds since 1970 when the writer's deadline passes. */
@@ -32,5 +32,5 @@
 	readonly end?: ClaimedOutcome;
 };
 
-/** Answers up to this size are kept in the claim, so that they outlast the agent's ledger. */
+/** Answers up to this size are stored in the claim, so that they stay available after the agent's ledger has dropped them. */
 export const maxClaimedCharacters = 16_384;
--- a/src/common/concurrency-limit.ts
+++ b/src/common/concurrency-limit.ts
@@ -1,8 +1,8 @@
 /**
-Bounds how many asynchronous calls run at once. A slow object API would otherwise collect calls without end, or hold all others up when they wait for each other.
+Bounds the number of asynchronous calls that run at once. Without a bound, calls to a slow object API would accumulate; strictly one after the other, a slow call would delay all that follow.
 */
 
-/** Runs tasks, at most so many at once, in the order they came. */
+/** Runs at most `max` tasks at once, in order of arrival. */
 export class ConcurrencyLimit {
 	readonly #max: number;
 	readonly #waiting: Array<() => void> = [];
@@ -12,7 +12,7 @@
 		this.#max = max;
 	}
 
-	/** Runs a task when there is room. Rejects as the task does. */
+	/** Runs a task as soon as a slot is free. Rejects when the task rejects. */
 	async run<T>(task: () => Promise<T>): Promise<T> {
 		if (this.#running >= this.#max) {
 			await new Promise<void>(resolve => {
@@ -29,7 +29,7 @@
 		}
 	}
 
-	// The place of a task that ended passes to the next one without becoming free in between.
+	// The slot of a finished task passes directly to the next one, without becoming free in between.
 	#leave() {
 		const next = this.#waiting.shift();
 		if (next) {
--- a/src/common/config-bootstrap.ts
+++ b/src/common/config-bootstrap.ts
@@ -1,5 +1,5 @@
 /**
-Gets a node's first configuration. One source alone may be far behind without knowing it: a peer that was cut off for an hour answers as readily as any other. So the first configuration comes from the object API, or from two peers that have the same, or from a snapshot that a peer confirms.
+Loads a node's initial configuration. A single source may be far behind without detecting it: a peer that was disconnected for an hour answers like any other. So the initial configuration is taken from the object API, from two peers with equal configurations, or from a snapshot that a peer confirms.
 */
 import type {Either} from 'purify-ts/Either';
 import type {ConfigAnswer, ConfigPoll} from './config-protocol.js';
@@ -7,10 +7,10 @@
 import type {Revision} from './ids.js';
 import type {Clock, RandomSource} from './services.js';
 
-/** Asks a node; see {@link ConfigPoll}. */
+/** Polls a node; see {@link ConfigPoll}. */
 export type PollNode = (address: string, poll: ConfigPoll) => Promise<Either<unknown, ConfigAnswer>>;
 
-/** What the start needs. */
+/** Dependencies of the bootstrap. */
 export type BootstrapParts = {
 	readonly clock: Clock;
 	readonly random: RandomSource;
@@ -18,20 +18,20 @@
 	readonly node: string;
 	readonly scope?: ConfigScope;
 	readonly ask: PollNode;
-	/** `ip:port` of the peers to ask, the best first. */
+	/** `ip:port` of the peers to poll, the best first. */
 	readonly peers: () => readonly string[];
-	/** Reads everything from the object API. */
+	/** Reads the complete configuration from the object API. */
 	readonly readApi: () => Promise<Either<unknown, ConfigChanges>>;
-	/** True asks the object API first; else it is asked when the peers could not help. */
+	/** True tries the object API first; otherwise it is tried when the peers could not provide a configuration. */
 	readonly prefersApi: () => boolean;
-	/** What this node had in force before it was restarted, if it keeps that. */
+	/** The configuration that this node had in force before it was restarted, if it stores one. */
 	readonly snapshot?: ConfigChanges;
 };
 
-/** Where the first configuration came from. */
+/** The source of the initial configuration. */
 export type ConfigSource = 'objectApi' | 'peers' | 'snapshotAndPeer';
 
-/** The first configuration. */
+/** The initial configuration with its source. */
 export type InitialConfig = {readonly changes: ConfigChanges; readonly source: ConfigSource};
 
 type Step = (parts: BootstrapParts) => Promise<InitialConfig | undefined>;
@@ -39,7 +39,7 @@
 const shortestRetryMs = 200;
 const retrySpreadMs = 800;
 
-// What was in force here must not be reverted by a restart. Two peers that agree may both have been cut off since long before the snapshot was written, and an object API may have been set back to a backup.
+// A restart must not revert the configuration. Two peers that agree may both have been disconnected since long before the snapshot was written, and the object API may have been restored from a backup.
 const isBehind = ({snapshot}: BootstrapParts, revision: Revision): boolean => snapshot !== undefined && revision < snapshot.revision;
 
 const fromApi: Step = async parts => {
@@ -62,7 +62,7 @@
 
 	for (const peer of parts.peers()) {
 		const answer = await askFor(parts, peer, snapshot.revision);
-		// A peer that is behind the snapshot proves nothing about it.
+		// A peer that is behind the snapshot can not confirm it.
 		if (answer && answer.revision >= snapshot.revision) {
 			const table = new ConfigTable();
 			table.apply(snapshot);
@@ -80,7 +80,7 @@
 		const isFirst = table.revision === 0;
 		const answer = await askFor(parts, peer, table.revision);
 		if (answer) {
-			// What the table lacks it takes over, so the newest peer sets the mark and an older one can not agree with it.
+			// The table applies the changes that it lacks, so it reaches the revision of the newest peer, and the digest of an older one can not match.
 			table.apply(answer);
 		}
 
@@ -92,7 +92,7 @@
 	return undefined;
 };
 
-/** Tries all sources over and over. Resolves with nothing once `isDisposed`. */
+/** Tries all sources repeatedly until one provides a configuration. Resolves with undefined once `isDisposed` returns true. */
 export const loadInitialConfig = async (parts: BootstrapParts, isDisposed: () => boolean): Promise<InitialConfig | undefined> => {
 	while (!isDisposed()) {
 		const steps: readonly Step[] = parts.prefersApi() ? [fromApi, fromSnapshot, fromPeers] : [fromSnapshot, fromPeers, fromApi];
@@ -103,7 +103,7 @@
 			}
 		}
 
-		// Spread out, so that nodes that start together after an outage do not ask together.
+		// Random delay, so that nodes that start together after an outage do not retry together.
 		await parts.clock.sleep(shortestRetryMs + (parts.random.next() * retrySpreadMs));
 	}
 
--- a/src/common/config-counts.ts
+++ b/src/common/config-counts.ts
@@ -1,11 +1,11 @@
 /**
-Counts the nodes that have a version in force: this node and those that ask it, each with the nodes below. Counts ride up on the polls, so that nobody has to ask every node.
+Counts the nodes that have a version in force: this node and those that poll it, each with the nodes below it. Counts are sent upstream with the polls, so that no node has to query all others.
 */
 import {pollTimeoutMs, pollWaitMs, type InForceCount} from './config-protocol.js';
 import type {Revision} from './ids.js';
 import type {Clock} from './services.js';
 
-// A node that asks elsewhere must not be counted twice for long: it has given this one up by then.
+// Lifetimes of a report. They are bounded because a node that has switched to another upstream must not be counted twice for long: by then its poll here has timed out.
 const waitingMs = pollTimeoutMs;
 const answeredMs = pollTimeoutMs - pollWaitMs;
 const maxRows = 8;
@@ -17,13 +17,13 @@
 	return [...sums].map(([version, nodes]) => ({version, nodes})).toSorted((a, b) => b.version - a.version);
 };
 
-/** Nodes with at least this version in force, and nodes counted at all. */
+/** Returns the number of nodes with at least this version in force, and of all nodes counted. */
 export const countInForce = (counts: readonly InForceCount[], version: Revision): {nodesInForce: number; nodesCounted: number} => ({
 	nodesInForce: counts.filter(row => row.version >= version).reduce((sum, row) => sum + row.nodes, 0),
 	nodesCounted: counts.reduce((sum, row) => sum + row.nodes, 0),
 });
 
-/** The counts at one node. */
+/** The counts of one node and the nodes below it. */
 export class ConfigCounts {
 	readonly #reports = new Map<string, Report>();
 	readonly #clock: Clock;
@@ -35,12 +35,12 @@
 		this.#own = own;
 	}
 
-	/** Takes over what a node that asked says of itself and of those below it. */
+	/** Records the counts that a polling node reports for itself and the nodes below it. */
 	recordCounts(node: string, counts: readonly InForceCount[]): void {
 		this.#reports.set(node, {counts, until: this.#clock.now() + waitingMs});
 	}
 
-	/** The node was answered: it asks again at once, here or elsewhere. */
+	/** Shortens the lifetime of a node's report once its poll is answered: the node polls again at once, here or at another upstream. */
 	markAnswered(node: string): void {
 		const report = this.#reports.get(node);
 		if (report) {
@@ -55,7 +55,7 @@
 			this.#reports.delete(node);
 		});
 		const all = merged([{version: this.#own(), nodes: 1}, ...[...this.#reports.values()].flatMap(({counts}) => counts)]);
-		// What does not fit is counted at the oldest version: rather too few in force than too many.
+		// Rows beyond the maximum are counted at the oldest version: the number of nodes in force may be underestimated, but not overestimated.
 		const rest = all.slice(maxRows - 1).map(({nodes}) => ({version: all.at(-1)!.version, nodes}));
 		return all.length <= maxRows ? all : [...all.slice(0, maxRows - 1), ...merged(rest)];
 	}
--- a/src/common/config-feed.ts
+++ b/src/common/config-feed.ts
@@ -1,25 +1,25 @@
 /**
-Answers nodes that ask for configuration: at once when there is something new for them, else after a while with nothing but this node's revision.
+Answers configuration polls of other nodes: at once when there are changes for them, otherwise after a wait with this node's revision only.
 */
 import type {ConfigCounts} from './config-counts.js';
 import {pollWaitMs, type ConfigAnswer, type ConfigPoll} from './config-protocol.js';
 import type {ConfigChanges, ConfigTable} from './config-table.js';
 import type {Clock, Disposable} from './services.js';
 
-/** What the feed needs. */
+/** Dependencies of the feed. */
 export type FeedParts = {
 	readonly table: ConfigTable;
 	readonly clock: Clock;
 	readonly counts: ConfigCounts;
-	/** Whether this node's configuration is to be trusted. */
+	/** Whether this node's configuration can be trusted. */
 	readonly isReady: () => boolean;
-	/** Whether this node hears the object API or a node further up. */
+	/** Whether this node is connected to the object API or to an upstream node. */
 	readonly isConnected: () => boolean;
 };
 
 const hasNews = (changes: ConfigChanges, poll: ConfigPoll) => changes.events.length > 0 || (changes.full && changes.revision > poll.since);
 
-/** Serves the table of one node. */
+/** Serves one node's table to other nodes. */
 export class ConfigFeed implements Disposable {
 	readonly #parts: FeedParts;
 	readonly #wakers = new Set<() => void>();
@@ -33,7 +33,7 @@
 		});
 	}
 
-	/** Answers one poll; never later than its `waitMs`, and a second at most. */
+	/** Answers one poll, at the latest after its `waitMs` or one second. */
 	async answer(poll: ConfigPoll): Promise<ConfigAnswer> {
 		const {table, clock, counts} = this.#parts;
 		if (poll.counts) {
@@ -52,7 +52,7 @@
 		return this.#answerWith(changes, poll);
 	}
 
-	/** Answers all that wait: this node is no longer connected, and they are to ask elsewhere without delay. */
+	/** Answers all pending polls at once, because this node is no longer connected and the polling nodes should switch to another one without delay. */
 	answerPendingPolls(): void {
 		this.#losses += 1;
 		this.#wakeAll();
--- a/src/common/config-in-force.ts
+++ b/src/common/config-in-force.ts
@@ -1,17 +1,17 @@
 /**
-Which resources still have to be reported on: those whose newest version is not known to be in force at every node.
+Determines which resources still have to be reported: those whose newest version is not known to be in force at every node.
 */
 import type {AnyResource, ResourceStatus} from '../../typings/resources.js';
 import type {Revision} from './ids.js';
 import type {ObjectKind, StoredObject, WatchEvent} from './types.js';
 
-/** Kinds that operators write and that every node has in force. */
+/** Kinds that operators write and that every node applies. */
 export const reportedKinds: readonly ObjectKind[] = ['ServedModel', 'ModelVersion', 'OnlineService', 'ClientAccount', 'BackendServer'];
 
-/** How many nodes have a version. */
+/** The number of nodes that have a version in force, and of all known nodes. */
 export type InForceTally = {readonly nodesInForce: number; readonly nodesKnown: number};
 
-/** What is to be reported of a version. */
+/** A version that still has to be reported as in force. */
 export type PendingVersion = {
 	readonly kind: ObjectKind;
 	readonly name: string;
@@ -22,24 +22,24 @@
 	/** The clock's `now` when it was last reported; undefined before the first time. */
 	readonly reportedAt?: number;
 	readonly reported?: InForceTally;
-	/** The clock's `now` since when every tally was whole. */
+	/** The clock's `now` since which every tally has been complete; undefined while nodes are missing. */
 	readonly completeSince?: number;
 };
 
-/** A change takes a moment; a report on each step of it would only cost calls. */
+/** A change takes a moment to reach all nodes; reporting each step of it would only cost calls. */
 const firstReportMs = 3000;
 const reportAgainMs = 5000;
-/** A node that just went from one upstream to another is counted at both for a moment, and could hide one that is behind. */
+/** A node that has just switched upstreams is briefly counted at both, and could hide one that is behind. */
 const settleMs = 2000;
 
 export const inForceCondition = 'InForce';
 
-/** The generation of a resource; 1 where its writer did not count, or wrote something else than a resource. */
+/** The generation of a resource; 1 when its writer set none, or wrote something other than a resource. */
 export const generationOf = (resource: Partial<AnyResource>): number => resource.metadata?.generation ?? 1;
 
 export const isInForce = ({nodesInForce, nodesKnown}: InForceTally): boolean => nodesInForce >= nodesKnown;
 
-/** Takes a tally into account. */
+/** Returns the pending version updated by a tally. */
 export const withTally = (pending: PendingVersion, tally: InForceTally, now: number): PendingVersion => ({...pending, completeSince: isInForce(tally) ? pending.completeSince ?? now : undefined});
 
 /** Whether to write a report now. */
@@ -53,11 +53,11 @@
 		: now - reportedAt >= reportAgainMs && (reported?.nodesInForce !== tally.nodesInForce || reported.nodesKnown !== tally.nodesKnown);
 };
 
-/** Whether a status already says that a resource's generation is in force. */
+/** Whether a status already shows that a resource's generation is in force. */
 export const isSettled = (resource: AnyResource, status: ResourceStatus | undefined): boolean => status?.observedGeneration === generationOf(resource)
 	&& status.conditions.some(({type, status: value}) => type === inForceCondition && value === 'True');
 
-/** What a put of a resource leaves to report. */
+/** Creates the pending version of a resource that was written. */
 export const pendingOf = ({kind, name, version, value}: Pick<WatchEvent, 'kind' | 'name' | 'version' | 'value'> | StoredObject, now: number): PendingVersion => ({
 	kind, name, version, generation: generationOf(value as AnyResource), seenAt: now,
 });
--- a/src/common/config-peer-follower.ts
+++ b/src/common/config-peer-follower.ts
@@ -1,12 +1,12 @@
 /**
-Follows the configuration by long polls to a node further up, and changes to another one when that one is silent, gone or cut off itself. Each poll asks for everything after this node's own revision, so what was missed while a connection or a whole region was cut comes with the first answer after it.
+Follows the configuration by long polls to an upstream node, and switches to another one when that node is unresponsive, terminated or disconnected itself. Each poll requests everything after this node's own revision, so the first answer after a disconnection, even of a whole region, contains all changes that were missed.
 */
 import type {PollNode} from './config-bootstrap.js';
 import {pollWaitMs, type ConfigAnswer, type InForceCount} from './config-protocol.js';
 import type {ConfigScope, ConfigTable} from './config-table.js';
 import type {Clock, Disposable, RandomSource} from './services.js';
 
-/** What the follower needs. */
+/** Dependencies of the follower. */
 export type PeerFollowerParts = {
 	readonly clock: Clock;
 	readonly random: RandomSource;
@@ -15,17 +15,17 @@
 	readonly node: string;
 	readonly scope?: ConfigScope;
 	readonly ask: PollNode;
-	/** `ip:port` of the nodes to ask, the best first; may change at any time. */
+	/** `ip:port` of the nodes to poll, the best first; may change at any time. */
 	readonly upstreams: () => readonly string[];
-	/** What to report up; undefined when somebody else counts this node. */
+	/** Counts to report upstream; undefined when another node counts this one. */
 	readonly counts: () => readonly InForceCount[] | undefined;
-	/** Called when the node that was asked failed or is cut off. */
+	/** Called when the polled node failed or is disconnected. */
 	readonly onLost?: () => void;
-	/** Called when a whole round of upstreams gave nothing. */
+	/** Called when all upstreams of a round have failed. */
 	readonly onRoundFailed?: () => void | Promise<void>;
 };
 
-/** After this long the best upstream is tried again. */
+/** Milliseconds after which the best upstream is tried again. */
 const returnMs = 30_000;
 const shortestRetryMs = 100;
 const retrySpreadMs = 400;
@@ -44,12 +44,12 @@
 		this.#parts = parts;
 	}
 
-	/** Whether the node further up that was asked last is connected itself and answered. */
+	/** Whether the upstream polled last answered and is connected itself. */
 	get isConnected(): boolean {
 		return this.#isConnected;
 	}
 
-	/** Follows for good. Resolves after `dispose`. */
+	/** Polls until disposed. Resolves after `dispose`. */
 	async run(): Promise<void> {
 		while (!this.#disposed) {
 			const upstream = this.#choose();
@@ -84,7 +84,7 @@
 		return !this.#disposed && answer.map(got => this.#take(got)).orDefault(false);
 	}
 
-	// Changes are taken from any node, also from one that is cut off: the table keeps the newer ones. But a node that is cut off is not waited on.
+	// Changes are accepted from any node, even a disconnected one: the table keeps only newer ones. But a disconnected node is not polled again.
 	#take(answer: ConfigAnswer): boolean {
 		const isTaken = answer.isReady && this.#parts.table.apply(answer);
 		if (!isTaken || !answer.isConnected) {
@@ -106,7 +106,7 @@
 			return;
 		}
 
-		// Nobody helped. The wait differs from node to node, so that not all come back in the moment that an outage ends.
+		// All upstreams failed. The delay is random, so that not all nodes return at the moment when an outage ends.
 		await onRoundFailed?.();
 		await clock.sleep(shortestRetryMs + (random.next() * retrySpreadMs));
 	}
--- a/src/common/config-reader.ts
+++ b/src/common/config-reader.ts
@@ -1,5 +1,5 @@
 /**
-Reads the whole configuration from the object API, as one set of changes that is complete up to its revision.
+Reads the complete configuration from the object API, as one set of changes that has no gaps up to its revision.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {ConfigChanges} from './config-table.js';
@@ -42,7 +42,7 @@
 };
 
 /**
-Lists each kind, then asks for what changed since the first list was read: the lists are of different moments, and only the changes between make them one whole.
+Lists each kind, then requests the changes since the first list was read: the lists are read at different times, and only the changes in between make them consistent.
 
 @param name - Only objects of this name; all by default.
 */
@@ -62,7 +62,7 @@
 	return caughtUp.map(batch => withCatchUp(lists, batch, name));
 };
 
-/** The changes of one watch, as the table takes them. */
+/** Converts the result of one watch to changes of the table. */
 export const changesOfWatch = ({events, version}: WatchBatch, since: Revision): ConfigChanges => ({
 	full: false, since, revision: version, head: newestOf(events), events,
 });
--- a/src/common/config-table.ts
+++ b/src/common/config-table.ts
@@ -1,7 +1,7 @@
 /**
-The configuration in force at this node: the newest version of each object, deletions included. Versions only grow, so nothing that arrives late, twice or out of order can bring an old version back.
+The configuration in force at this node: the newest version of each object, including deletions. Versions only grow, so changes that arrive late, twice or out of order can not restore an old version.
 
-The table is complete up to its revision: no object in it is newer, and no change up to it is missing. A batch of changes says from which revision it starts; one that would leave a gap is refused, and one that is not newer changes nothing.
+The table is complete up to its revision: it holds no newer object, and lacks no change up to it. A batch of changes states the revision from which it starts; one that would leave a gap is rejected, and one that is not newer changes nothing.
 */
 import type {Revision} from './ids.js';
 import type {ObjectKind, StoredObject, WatchEvent} from './types.js';
@@ -10,11 +10,11 @@
 /** Called after an object changed. */
 export type ConfigListener = (event: WatchEvent) => void;
 
-/** What a node needs to come from `since` to `revision`. */
+/** The changes that bring a node from `since` to `revision`. */
 export type ConfigChanges = {
-	/** True when the events are all there is: objects not named are deleted, and `since` does not count. */
+	/** True when the events are the complete table: objects not named are deleted, and `since` is ignored. */
 	readonly full: boolean;
-	/** The changes are whole from here on. */
+	/** The changes are complete from this revision on. */
 	readonly since: Revision;
 	readonly revision: Revision;
 	/** The version of the newest change of any configuration object, in the reader's scope or not. */
@@ -22,23 +22,23 @@
 	readonly events: readonly WatchEvent[];
 };
 
-/** Which objects a reader wants; without a part, all. */
+/** The objects that a reader requests; a criterion that is left out matches all. */
 export type ConfigScope = {
 	readonly kinds?: readonly ObjectKind[];
 	readonly name?: string;
 };
 
-// Deletions remembered; a peer further behind receives the whole table.
+// Deletions retained; a peer further behind receives the complete table.
 const maxTombstones = 2000;
 
 const keyOf = (kind: ObjectKind, name: string) => `${kind}/${name}`;
 const inScope = (event: WatchEvent, {kinds, name}: ConfigScope) => (kinds?.includes(event.kind) ?? true) && (name === undefined || event.name === name);
 
-/** Checks an object before it is put in force. */
+/** Validates an object before it is applied. */
 export type ConfigCheck = {
 	/** What is wrong with the value; undefined when nothing is. */
 	readonly faultOf: (kind: ObjectKind, name: string, value: unknown) => string | undefined;
-	/** Called for each object that is not put in force. */
+	/** Called for each object that is rejected. */
 	readonly onRefused: (event: WatchEvent, fault: string) => void;
 };
 
@@ -53,17 +53,17 @@
 	#deletionsKnownFrom = 0;
 	#tombstones = 0;
 
-	/** @param check - Objects that it finds fault with are passed over; by default all are taken. */
+	/** @param check - Objects that it rejects are skipped; by default all are accepted. */
 	constructor(check?: ConfigCheck) {
 		this.#check = check;
 	}
 
-	/** Everything up to this version is in force here. 0: nothing was read yet. */
+	/** The version up to which all changes are in force; 0 before the first read. */
 	get revision(): Revision {
 		return this.#revision as Revision;
 	}
 
-	/** The version of the newest change in force here. Unlike the revision it stands still while the configuration does. */
+	/** The version of the newest change in force. Unlike the revision, it stays the same while the configuration does not change. */
 	get head(): Revision {
 		return this.#head as Revision;
 	}
@@ -76,7 +76,7 @@
 		};
 	}
 
-	/** Calls the listener after each batch that was put in force, until the returned function is called. */
+	/** Calls the listener after each batch that was applied, until the returned function is called. */
 	onBatch(listener: () => void): () => void {
 		this.#batchListeners.add(listener);
 		return () => {
@@ -113,17 +113,17 @@
 	}
 
 	/**
-	Puts changes in force.
+	Applies changes.
 
-	@returns False when they were refused: they start after this table's revision, so that something between would be missing.
+	@returns False when they were rejected because they start after this table's revision, so that changes in between would be missing.
 	*/
 	apply(changes: ConfigChanges): boolean {
-		// Applying a batch that starts later would raise the revision over changes never seen, and they would never be asked for again.
+		// Applying a batch that starts later would raise the revision above changes that were never received, and they would never be requested again.
 		if (!changes.full && changes.since > this.#revision) {
 			return false;
 		}
 
-		// What is not newer as a whole brings nothing: every change up to our revision is here, or was overtaken, or its deletion is already forgotten. Taking it object by object would raise the forgotten ones from the dead.
+		// A batch that is not newer brings nothing: every change up to this table's revision has been applied, has been superseded, or was a deletion that is no longer retained. Applying it object by object would restore objects whose deletions were discarded.
 		if (changes.revision > this.#revision) {
 			this.#putInForce(changes);
 		}
@@ -131,9 +131,9 @@
 		return true;
 	}
 
-	/** What a peer at `since` lacks. */
+	/** Returns the changes that a peer at `since` lacks. */
 	changesSince(since: Revision, scope: ConfigScope = {}): ConfigChanges {
-		// The deletions before this node's first list, and those forgotten since, are not in the table.
+		// The deletions before this node's first list, and those discarded since, are not in the table.
 		const full = since < this.#deletionsKnownFrom || since === 0;
 		const isWanted = (event: WatchEvent) => inScope(event, scope) && (full ? event.type === 'put' : event.version > since);
 		const events = !full && since >= this.#head ? [] : [...this.#entries.values()].filter(isWanted);
@@ -175,7 +175,7 @@
 			return false;
 		}
 
-		// One malformed object would end every process that reads its fields, and again after each restart. The last good one stays in force; as an object of the same name was seen, a whole list does not delete it either.
+		// One malformed object would crash every process that reads its fields, and again after each restart. The last valid version stays in force; a complete list does not delete it either, since it names the object.
 		const fault = event.type === 'put' ? this.#check?.faultOf(event.kind, event.name, event.value) : undefined;
 		if (fault !== undefined) {
 			this.#check?.onRefused(event, fault);
@@ -193,7 +193,7 @@
 			return;
 		}
 
-		// Half at once: sorting for each single one would cost a full pass a deletion.
+		// Half of them are discarded at once: discarding each one separately would sort all of them for every deletion.
 		const deletions = [...this.#entries].filter(([, entry]) => entry.type === 'delete').toSorted(([, a], [, b]) => a.version - b.version);
 		deletions.slice(0, maxTombstones / 2).forEach(([oldKey, entry]) => {
 			this.#entries.delete(oldKey);
--- a/src/common/config-upstream.ts
+++ b/src/common/config-upstream.ts
@@ -1,26 +1,26 @@
 /**
-Who gets the configuration from whom. In each failure domain the entries are ranked by rendezvous hash: the first few watch the object API, and each other one asks the entry above it in a tree with a small fan-out. Agents ask an entry of their domain.
+Determines which node receives the configuration from which. In each failure domain the entries are ranked by rendezvous hash: the first few watch the object API, and each other one polls the entry above it in a tree with a small fan-out. Agents poll an entry of their domain.
 
-Of two entries the same one ranks higher in everybody's eyes, whichever other VMs their lagging lists show. A node asks only nodes that rank higher than it, or watchers, so no ring can form in which nodes wait for each other.
+Of two entries, the same one ranks higher at every node, whichever other VMs their lagging lists contain. A node polls only nodes that rank higher, or watchers, so no cycle can form in which nodes wait for each other.
 */
 import type {VmEntry} from './types.js';
 import {rankMembers} from './rendezvous.js';
 
-/** A node's place. */
+/** A node's position in the distribution tree. */
 export type ConfigPosition = {
 	/** Whether it watches the object API itself. */
 	readonly isWatcher: boolean;
-	/** `ip:port` of the nodes to ask, the best first. */
+	/** `ip:port` of the nodes to poll, the best first. */
 	readonly upstreams: readonly string[];
 };
 
-/** Entries of a failure domain that watch: one can be lost, or lose the object API, without the domain losing it. */
+/** Entries of a failure domain that watch the object API: one can be lost, or lose its connection, without disconnecting the domain. */
 const watchersPerDomain = 2;
 
-/** Entries that ask one entry; keeps its share of control traffic bounded at any size. */
+/** Entries that poll one entry; bounds its control traffic at any size of the fleet. */
 const fanOut = 8;
 
-/** Other nodes worth trying after the first one; more would only lengthen the round. */
+/** Upstreams tried in one round; more would only lengthen the round. */
 const maxUpstreams = 8;
 
 const namesOf = (vms: readonly VmEntry[]) => vms.map(({name}) => name);
@@ -39,9 +39,9 @@
 };
 
 /**
-The place of an entry.
+Returns the position of an entry.
 
-@param entries - The live entry VMs. One that is not among them watches: the list lags, and the object API is always a right source.
+@param entries - The live entry VMs. An entry that is not among them watches: the list lags, and the object API is always a valid source.
 */
 export const positionOfEntry = (entries: readonly VmEntry[], self: string): ConfigPosition => {
 	const domain = entries.find(({name}) => name === self)?.failureDomain;
@@ -49,26 +49,26 @@
 	const ranked = domain === undefined ? [] : rankedIn(entries, domain);
 	const rank = ranked.indexOf(self);
 	if (rank < watchersPerDomain) {
-		// Another watcher, so that a watch gone silent delays nothing.
+		// The other watchers are upstreams, so that an unresponsive watch causes no delay.
 		return {isWatcher: true, upstreams: addressesOf(entries, watchers, self)};
 	}
 
 	const parent = ranked[Math.floor((rank - watchersPerDomain) / fanOut)]!;
 	const own = ranked.slice(0, watchersPerDomain);
 	const far = watchers.filter(watcher => !own.includes(watcher));
-	// A far one comes second: when the links to the whole own failure domain are silent, trying its nodes one after another would take too long.
+	// A watcher of another failure domain comes second: when the links to the whole own domain are unresponsive, trying its nodes one after another would take too long.
 	return {isWatcher: false, upstreams: addressesOf(entries, [parent, ...far.slice(0, 1), ...own, ...far.slice(1)], self)};
 };
 
 /**
-The entries that an agent asks: those of its own failure domain first, spread evenly over the agents.
+Returns the entries that an agent polls: those of its own failure domain first, distributed evenly over the agents.
 
 @param entries - The live entry VMs.
 */
 export const upstreamsOfAgent = (entries: readonly VmEntry[], self: string, domain: string): readonly string[] => {
 	const near = entries.filter(({failureDomain}) => failureDomain === domain);
 	const far = entries.filter(({failureDomain}) => failureDomain !== domain);
-	// The first half of the round is near, the rest far: the domain's entries may all be cut off.
+	// The first half of the round is in the own failure domain, the rest in others: the domain's entries may all be disconnected.
 	const names = [...rankMembers(self, namesOf(near)).slice(0, maxUpstreams / 2), ...rankMembers(self, namesOf(far))];
 	return addressesOf(entries, names, self);
 };
--- a/src/common/decision-trace.ts
+++ b/src/common/decision-trace.ts
@@ -1,5 +1,5 @@
 /**
-What a trace of decisions holds: for each decision everything that its policy was given, and what it chose. Policies are pure, so the same inputs must give the same choice again; a trace is replayed against the policies and against stated outcomes.
+The records of a decision trace: for each decision all inputs of its policy, and the choice. Policies are pure, so the same inputs must give the same choice again; a trace is replayed against the policies and against stated invariants.
 */
 import type {LeaseDecision, LeaseRequest} from './lease.js';
 import type {RouteRecord} from './route-record.js';
@@ -16,7 +16,7 @@
 /** One line of a trace. */
 export type DecisionRecord = RouteRecord | LeaseRecord;
 
-/** Takes decisions as they are made. */
+/** Receives decisions as they are made. */
 export type DecisionTrace = {
 	write(decision: DecisionRecord): void;
 };
--- a/src/common/error-of.ts
+++ b/src/common/error-of.ts
@@ -1,7 +1,7 @@
 /**
-Reads the failure of an outcome.
+Extracts the error of an `Either`.
 */
 import type {Either} from 'purify-ts/Either';
 
-/** @returns The failure; `undefined` for a success. */
+/** @returns The error; `undefined` for a success. */
 export const errorOf = <L>(outcome: Either<L, unknown>): L | undefined => outcome.swap().toMaybe().extract();
--- a/src/common/fair-queue.ts
+++ b/src/common/fair-queue.ts
@@ -1,11 +1,11 @@
 /**
-A queue that is fair between client accounts by virtual token counters: each account's counter grows by the tokens it was served, divided by its share, and the waiting account with the lowest counter goes next. An account that was away is lifted to the counter that was served last, so that absence earns no credit.
+A queue that is fair between client accounts by virtual token counters: each account's counter grows by the tokens it was served, divided by its share, and the waiting account with the lowest counter goes next. The counter of an account that was idle is raised to the counter served last, so that idle time earns no credit.
 
-Only accounts with waiting items are looked at when the next item is chosen; the counters of the others are kept apart, bounded in number.
+Only accounts with waiting items are searched for the next item; the counters of the others are stored separately, bounded in number.
 */
 import type {AccountName} from './ids.js';
 
-/** Something that waits. */
+/** An item of the queue. */
 export type QueueItem = {
 	readonly account: AccountName;
 	/** The account's weight, above 0. */
@@ -16,13 +16,13 @@
 
 type Lane<Item> = {items: Item[]; counter: number; queuedTokens: number; share: number};
 
-// The counters of accounts without waiting items are forgotten beyond this number, the longest unused first; 26,000 accounts would otherwise stay in memory. A forgotten account starts again at the counter served last, which is where absence would have lifted it anyway.
+// Beyond this number, counters of accounts without waiting items are discarded, the least recently used first; 26,000 accounts would otherwise stay in memory. A discarded account starts again at the counter served last, to which its idle time would have raised it anyway.
 const maxIdleLanes = 1000;
 
-/** Items by account, taken in fair order. Within an account the order of arrival holds. */
+/** Items by account, taken in fair order. Within an account they are taken in order of arrival. */
 export class FairQueue<Item extends QueueItem> {
 	readonly #waiting = new Map<AccountName, Lane<Item>>();
-	// The lanes of #waiting, for the search of the lowest: an array is read several times faster than a map.
+	// The lanes of #waiting, for the search for the lowest counter: an array is iterated several times faster than a map.
 	readonly #lanes: Array<Lane<Item>> = [];
 	readonly #idle = new Map<AccountName, Lane<Item>>();
 	#length = 0;
@@ -45,7 +45,7 @@
 		this.#count(lane, item, 1);
 	}
 
-	/** Puts back an item that was taken and not served; its account's counter is credited. */
+	/** Returns an item that was taken and not served to the front of its account's items, and credits the account. */
 	unshift(item: Item): void {
 		const lane = this.#laneOf(item);
 		lane.counter -= item.costTokens / item.share;
@@ -53,12 +53,12 @@
 		this.#count(lane, item, 1);
 	}
 
-	/** The next item in fair order, which is left in the queue. */
+	/** Returns the next item in fair order without removing it; undefined when the queue is empty. */
 	peek(): Item | undefined {
 		return this.#lowest()?.items[0];
 	}
 
-	/** Takes the next item for which `fits` holds at the head of its account's items, and charges the account. */
+	/** Takes the next item in fair order, among the first items of each account that satisfy the predicate, and charges its account. */
 	shift(fits?: (item: Item) => boolean): Item | undefined {
 		const lane = this.#lowest(fits);
 		const item = lane?.items.shift();
@@ -72,7 +72,7 @@
 		return item;
 	}
 
-	/** Corrects an account's charge once the true cost is known; negative for less. An account that was forgotten is left alone. */
+	/** Corrects an account's charge once the actual cost is known; negative when it was lower. An account whose counter was discarded is ignored. */
 	charge(item: QueueItem, extraTokens: number): void {
 		const lane = this.#waiting.get(item.account) ?? this.#idle.get(item.account);
 		if (lane) {
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Takes out one item, without a charge. False when it does not wait here. */
+	/** Removes one item without a charge. False when it is not queued. */
 	remove(item: Item): boolean {
 		const lane = this.#waiting.get(item.account);
 		const index = lane?.items.indexOf(item) ?? -1;
@@ -93,7 +93,7 @@
 		return true;
 	}
 
-	/** Takes out all items for which `fits` holds, in no fair order and without a charge. */
+	/** Removes all items that satisfy the predicate, in no particular order and without a charge. */
 	takeWhere(fits: (item: Item) => boolean): Item[] {
 		const taken = [...this.#waiting.values()].flatMap(lane => lane.items.filter(item => fits(item)));
 		taken.forEach(item => {
@@ -102,7 +102,7 @@
 		return taken;
 	}
 
-	/** The tokens that go before an item that came now: those of other accounts only as far as they are ahead in fair order. */
+	/** The tokens that would be served before an item that arrives now: those of other accounts only as far as they are ahead in fair order. */
 	tokensAheadOf(item: QueueItem): number {
 		const own = this.#waiting.get(item.account);
 		const start = Math.max(own?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
@@ -118,9 +118,9 @@
 	}
 
 	/**
-	Makes room for an item when the queue is full: the newest item of the account that has most waiting for its share.
+	Selects the item to evict for a new one when the queue is full: the newest item of the account that has the most tokens waiting relative to its share.
 
-	@returns The item that has to give way, still in the queue; undefined when the new item's own account would have most.
+	@returns The item to evict, still in the queue; undefined when the new item's own account would have the most.
 	*/
 	evictionCandidateFor(item: QueueItem): Item | undefined {
 		const own = this.#waiting.get(item.account);
--- a/src/common/field-validators.ts
+++ b/src/common/field-validators.ts
@@ -1,14 +1,14 @@
 /**
-Tests of single fields, and of objects by their fields, for values that come from outside this process. They tell only whether a value can be used; messages for operators are citronctl's.
+Validators of single fields, and of objects by their fields, for values from outside this process. They decide only whether a value can be used; messages for operators are produced by citronctl.
 */
 
 /** True when the value can be used. */
 export type FieldValidator = (value: unknown) => boolean;
 
-/** The tests of an object's fields, by name. Fields without a test may hold anything. */
+/** Validators of an object's fields, by name. Fields without a validator may hold anything. */
 export type FieldValidators = Readonly<Record<string, FieldValidator>>;
 
-/** An object that is no array. */
+/** An object other than an array. */
 export const isObject = (value: unknown): value is Readonly<Record<string, unknown>> => typeof value === 'object' && value !== null && !Array.isArray(value);
 
 /** A string that is not empty. */
@@ -32,17 +32,17 @@
 /** A finite number above 0. */
 export const isPositiveNumber: FieldValidator = value => Number.isFinite(value) && (value as number) > 0;
 
-/** A list whose every element passes. */
+/** An array whose elements are all valid. */
 export const listOf = (test: FieldValidator): FieldValidator => value => Array.isArray(value) && value.every(element => test(element));
 
-/** Undefined, or a value that passes. */
+/** Undefined, or a valid value. */
 export const optional = (test: FieldValidator): FieldValidator => value => value === undefined || test(value);
 
 /** One of these values. */
 export const oneOf = (...values: readonly unknown[]): FieldValidator => value => values.includes(value);
 
-/** The first field that does not pass its test; undefined when all do. */
+/** The first field that its validator rejects; undefined when all are valid. */
 export const invalidField = (value: Readonly<Record<string, unknown>>, tests: FieldValidators): string | undefined => Object.keys(tests).find(field => !tests[field]!(value[field]));
 
-/** An object whose fields pass. */
+/** An object whose fields are all valid. */
 export const objectOf = (tests: FieldValidators): FieldValidator => value => isObject(value) && invalidField(value, tests) === undefined;
--- a/src/common/fingerprint-set.ts
+++ b/src/common/fingerprint-set.ts
@@ -1,5 +1,5 @@
 /**
-A set of names that keeps 64 bits of each, for finding doubles among very many of them: 130,000 take 4 MiB at most, a tenth of what the names themselves would. Two different names are taken for the same once in some 10^9 files of that size.
+A set of names that stores 64 bits of each, to find duplicates among very many of them: 130,000 names take 4 MiB at most, a tenth of what the names themselves would. Two different names are taken for the same once in about 10^9 files of that size.
 */
 import {h64} from './xxhash.js';
 
@@ -13,7 +13,7 @@
 	#slots = new BigUint64Array(firstSlots);
 	#size = 0;
 
-	/** Names added. */
+	/** Number of names in the set. */
 	get size(): number {
 		return this.#size;
 	}
@@ -21,7 +21,7 @@
 	/**
 	Adds a name.
 
-	@returns False when it was there.
+	@returns False when it is already in the set.
 	*/
 	add(name: string): boolean {
 		if (this.#size >= this.#slots.length * maxFill) {
--- a/src/common/finished-choices.ts
+++ b/src/common/finished-choices.ts
@@ -1,13 +1,13 @@
 /**
-Whether an engine has come to the end of an answer. The end marker alone does not tell: a run that brought nothing, or broke off inside the engine, can be closed in order as well. What tells is a reason to finish for each choice that was asked for.
+Detects whether an engine has completed an answer. The end marker alone is not sufficient: a run that generated nothing, or failed inside the engine, can be closed regularly as well. An answer is complete when each requested choice has a finish reason.
 */
 import type {AnswerChunk} from './answer-assembler.js';
 import type {JsonObject} from './protocol.js';
 
-/** The number of choices that a request asks for. */
+/** The number of choices that a request asks for; 1 when it does not say. */
 export const requestedChoices = ({n}: JsonObject): number => Number.isInteger(n) ? Math.max(1, n as number) : 1;
 
-/** Counts the choices that an engine gave a reason to finish for. */
+/** Tracks the choices for which an engine has sent a finish reason. */
 export class FinishedChoices {
 	readonly #wanted: number;
 	readonly #finished = new Set<number>();
@@ -17,7 +17,7 @@
 		this.#wanted = wanted;
 	}
 
-	/** True once every choice that was asked for has its reason to finish. */
+	/** True once every requested choice has a finish reason. */
 	get isComplete(): boolean {
 		return this.#finished.size >= this.#wanted;
 	}
--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -1,10 +1,10 @@
 /**
-Identifiers and numbers that must not be mixed up carry a brand, so that the compiler refuses a VM's name where a client account's is meant. A brand costs nothing at run time.
+Identifiers and numbers that must not be mixed up carry a brand, so that the compiler rejects a VM's name where a client account's is expected. A brand costs nothing at run time.
 */
 
 declare const brand: unique symbol;
 
-/** A primitive that is told apart from others of its type by `Name`. */
+/** A primitive that the compiler distinguishes from others of its type by `Name`. */
 export type Branded<T, Name extends string> = T & {readonly [brand]: Name};
 
 /** One caller's request, over all its attempts; unique in the fleet. */
@@ -25,13 +25,13 @@
 export type FileId = Branded<string, 'FileId'>;
 /** A version of the object API: grows with every change of any object. */
 export type Revision = Branded<number, 'Revision'>;
-/** A fencing number: grows each time a lease changes hands. */
+/** A fencing number: grows each time a lease changes its holder. */
 export type Fence = Branded<number, 'Fence'>;
 /** A hash of a block of prompt text and of all blocks before it. */
 export type BlockHash = Branded<string, 'BlockHash'>;
 
 /**
-Puts a brand on a value whose origin is trusted: parsed input that was checked, or a value that this process made.
+Brands a value from a trusted origin: validated input, or a value that this process created.
 
 @param value - The plain value.
 @returns The same value, branded.
--- a/src/common/job-order.ts
+++ b/src/common/job-order.ts
@@ -1,11 +1,11 @@
 /**
-Decides which batch job gets the next chunk of idle room: jobs share it by the weights of their accounts, and a job that will be late counts several times as much. Among equals the one that is due first goes first. Online work never competes here: agents offer only the room that it leaves.
+Selects the batch job that gets the next chunk of idle capacity: jobs share it by the weights of their accounts, and the weight of a job that will be late is multiplied by {@link lateFactor}. Among equals the job that is due first goes first. Online work never competes here: agents offer only the capacity that it leaves.
 
-Strict order by due time was weighed and dropped: one account with many early due times would keep all others waiting.
+Jobs are not strictly ordered by due time: one account with many early due times would keep all others waiting.
 */
 import type {JobId} from './ids.js';
 
-/** What a job asks for. Times are milliseconds since 1970. */
+/** A job that has chunks to grant. Times are milliseconds since 1970. */
 export type JobCandidate = {
 	readonly jobId: JobId;
 	readonly account: string;
@@ -16,21 +16,21 @@
 	readonly estimatedEndAt: number | undefined;
 };
 
-/** How many times its account's share a late job gets. */
+/** Factor by which the weight of a late job is multiplied. */
 export const lateFactor = 4;
 
-/** True when the job is past its due time, or will be at its present rate. */
+/** True when the job is past its due time, or will be at its current rate. */
 export const isLate = ({dueAt, estimatedEndAt}: JobCandidate, now: number): boolean => now >= dueAt || (estimatedEndAt ?? 0) > dueAt;
 
 /** The job's weight at agents and in {@link selectJob}. */
 export const weightOf = (claim: JobCandidate, now: number): number => claim.share * (isLate(claim, now) ? lateFactor : 1);
 
 /**
-The claim to serve next.
+Selects the job to serve next.
 
-@param claims - Jobs that have chunks to grant.
-@param itemsOf - Items under way of an account.
-@returns Undefined when there are no claims.
+@param candidates - Jobs that have chunks to grant.
+@param itemsOf - Returns the number of an account's items in progress.
+@returns Undefined when there are no candidates.
 */
 export const selectJob = (claims: readonly JobCandidate[], itemsOf: (account: string) => number, now: number): JobCandidate | undefined => claims
 	.map(claim => ({claim, load: itemsOf(claim.account) / weightOf(claim, now)}))
--- a/src/common/job-run.ts
+++ b/src/common/job-run.ts
@@ -1,5 +1,5 @@
 /**
-What a coordinator knows of one job: which chunks are committed, which are granted to which agent, and which still have to be. It is rebuilt from the object API whenever a coordinator takes a job over, so nothing of it needs to last. It keeps a few bytes a chunk, whatever the number of items.
+A coordinator's state of one job: which chunks are committed, which are granted to which agent, and which are still to be granted. It is rebuilt from the object API whenever a coordinator takes over a job, so none of it is persisted. It takes a few bytes per chunk, whatever the number of items.
 */
 import type {BatchJobSpec} from '../../typings/resources.js';
 import {
@@ -22,14 +22,14 @@
 /** A chunk that its agent no longer has; it may have been committed before. */
 export type MissingChunk = {readonly chunk: number; readonly vm: VmName; readonly isFault: boolean};
 
-/** What a job's run begins from. */
+/** The initial state of a job's run. */
 export type JobStart = {
 	readonly jobId: JobId;
 	readonly spec: BatchJobSpec;
 	readonly file: FileRecord;
 	/** Chunks whose results exist already. */
 	readonly committed: readonly number[];
-	/** Those of them that an earlier coordinator has counted. */
+	/** Those of them that an earlier coordinator has already counted. */
 	readonly counted?: CommittedCounts;
 	/** Seconds since 1970. */
 	readonly startedAt: number;
@@ -37,7 +37,7 @@
 
 type Counts = {readonly completed: number; readonly failed: number};
 
-// After this many agents were lost with a chunk, its items run one by one, to find the one that takes them down.
+// After this many agents were lost while they held a chunk, its items run one by one, to identify the one that crashes them.
 const lossesBeforeIsolation = 2;
 const noCounts: Counts = {completed: 0, failed: 0};
 const sumOf = (counts: ReadonlyArray<Counts | undefined>): Counts => ({
@@ -68,12 +68,12 @@
 		this.#nextChunk = start.file.chunks.length - 1;
 		const counted = new Set(start.counted?.chunks);
 		start.committed.forEach(chunk => {
-			// Those counted before are in the base.
+			// Chunks counted by an earlier coordinator are included in its totals.
 			this.#committed.set(chunk, counted.has(chunk) ? noCounts : undefined);
 		});
 	}
 
-	/** Where its results are. */
+	/** The prefix of the names of its results. */
 	get results(): ResultPrefix {
 		return resultPrefix(this.jobId, this.spec);
 	}
@@ -95,7 +95,7 @@
 		return [...this.#missing.values()];
 	}
 
-	/** Items of the chunks that agents hold. */
+	/** Number of items in the chunks that agents hold. */
 	get grantedItems(): number {
 		return this.granted.reduce((sum, {chunk}) => sum + (this.file.chunks[chunk]?.items ?? 0), 0);
 	}
@@ -109,7 +109,7 @@
 		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekFresh() >= 0;
 	}
 
-	/** Committed chunks whose counts are not known here: results written under an earlier coordinator. */
+	/** Committed chunks whose counts have not been read yet: their results were written under an earlier coordinator. */
 	get uncountedChunks(): readonly number[] {
 		return [...this.#committed].filter(([, counts]) => counts === undefined).map(([chunk]) => chunk);
 	}
@@ -119,16 +119,16 @@
 	}
 
 	/**
-	The next chunk to grant; undefined when all are granted or committed.
+	Takes the next chunk to grant; undefined when all are granted or committed.
 
-	The last come first: chunks grow along a file, so that the small ones are left for the end, when many agents share the few that remain.
+	The last chunks come first: chunks grow along a file, so the small ones remain for the end, when many agents share the few that are left.
 	*/
 	takeChunk(): {readonly chunk: number; readonly isolate: boolean} | undefined {
 		const chunk = this.#takeReturned() ?? this.#takeFresh();
 		return chunk === undefined ? undefined : {chunk, isolate: (this.#losses.get(chunk) ?? 0) >= lossesBeforeIsolation};
 	}
 
-	/** Puts a chunk back that no agent took. */
+	/** Returns a chunk that no agent accepted. */
 	returnChunk(chunk: number): void {
 		this.#granted.delete(chunk);
 		this.#returned.unshift(chunk);
@@ -170,7 +170,7 @@
 		this.#committed.set(chunk, this.#committed.get(chunk) ?? counts);
 	}
 
-	/** The agent no longer has a chunk. */
+	/** Records that the agent no longer has a chunk. */
 	missed(chunk: number, isFault: boolean): void {
 		const granted = this.#granted.get(chunk);
 		if (granted) {
@@ -179,14 +179,14 @@
 		}
 	}
 
-	/** A missing chunk has no result: it must be granted anew. */
+	/** Records that a missing chunk has no result and must be granted again. */
 	lost({chunk, isFault}: MissingChunk): void {
 		this.#missing.delete(chunk);
 		this.#losses.set(chunk, (this.#losses.get(chunk) ?? 0) + (isFault ? 1 : 0));
 		this.#returned.push(chunk);
 	}
 
-	/** Estimated end in milliseconds since 1970; undefined while nothing is done. */
+	/** Estimated end in milliseconds since 1970; undefined while no item is completed. */
 	estimatedEnd(nowMs: number): number | undefined {
 		const {completed, failed} = this.#counts();
 		const done = completed + failed;
@@ -195,7 +195,7 @@
 	}
 
 	/**
-	The job's status. Only committed items are counted: those of a chunk under way are not readable yet, and may never be if the job is cancelled.
+	Returns the job's status. Only committed items are counted: those of a chunk in progress are not readable yet, and may never be if the job is cancelled.
 
 	@param now - Seconds since 1970.
 	*/
@@ -229,7 +229,7 @@
 		return {chunks, ...this.#committedCounts()};
 	}
 
-	// A chunk that was lost may have been committed after all by the agent that was out of reach.
+	// A lost chunk may have been committed after all by the agent that was unreachable.
 	#takeReturned(): number | undefined {
 		const index = this.#returned.findIndex(chunk => !this.#committed.has(chunk));
 		return index === -1 ? undefined : this.#returned.splice(0, index + 1).at(-1);
--- a/src/common/json-depth.ts
+++ b/src/common/json-depth.ts
@@ -1,8 +1,8 @@
 /**
-How deeply a value from outside is nested. `JSON.parse` takes any depth, but `JSON.stringify` and most other walks recurse, and end with a stack overflow at some ten thousand levels.
+Checks how deeply an external value is nested. `JSON.parse` accepts any depth, but `JSON.stringify` and most other traversals recurse, and overflow the stack at about ten thousand levels.
 */
 
-/** Levels that a caller's JSON may have. The deepest in use, schemas of tools, have about twenty. */
+/** Maximum nesting of a caller's JSON. The deepest in use, schemas of tools, have about twenty levels. */
 export const maxJsonDepth = 100;
 
 /**
@@ -15,6 +15,6 @@
 		return false;
 	}
 
-	// Ends at the limit, so that the check itself can not overflow the stack.
+	// Stops at the limit, so that the check itself can not overflow the stack.
 	return levels === 0 || Object.values(value).some(inner => isNestedDeeper(inner, levels - 1));
 };
--- a/src/common/lease-client.ts
+++ b/src/common/lease-client.ts
@@ -1,7 +1,7 @@
 /**
-Takes, renews and gives back one lease through the object API.
+Acquires, renews and releases one lease through the object API.
 
-The holder's deadline counts from before its last successful renewal was sent, so that it ends before anybody else may take the lease, however long the answer was under way. Whoever acts under the lease checks `isHeld` first.
+The holder's deadline counts from the time before its last successful renewal was sent, so that it passes before any other process may take the lease, however long the answer took. Code that acts under the lease checks `isHeld` first.
 */
 import type {DecisionTrace} from './decision-trace.js';
 import {
@@ -11,19 +11,19 @@
 import type {Clock, ObjectApi} from './services.js';
 import type {ApiError, StoredObject} from './types.js';
 
-/** Which lease, and for whom. */
+/** The lease, and the process that wants to hold it. */
 export type LeaseOptions = {
 	readonly name: string;
 	readonly self: HolderName;
 	readonly ttlMs: number;
-	/** Takes the inputs of every decision; none by default. */
+	/** Receives the inputs of every decision; none by default. */
 	readonly trace?: DecisionTrace;
 };
 
-// Acting is stopped this long before the lease may pass on, for clocks that run at slightly different speeds.
+// Share of the lease's duration by which the holder stops acting early, since clocks run at slightly different speeds.
 const safetyShare = 0.1;
 
-/** One lease. */
+/** Client of one lease. */
 export class LeaseClient {
 	readonly #api: ObjectApi;
 	readonly #clock: Clock;
@@ -44,13 +44,13 @@
 	}
 
 	/**
-	True while, as far as this process knows, nobody else has taken the lease. It may have lapsed: in an outage of the object API it can neither be renewed nor taken by others.
+	True while the last observed holder is this process. The lease may have expired: in an outage of the object API it can neither be renewed nor taken by others.
 	*/
 	get isOwner(): boolean {
 		return this.#view.value?.holder === this.#options.self;
 	}
 
-	/** The fencing number that this process last held or holds the lease with. */
+	/** The fencing number with which this process holds or last held the lease; 0 when it is not the last observed holder. */
 	get lastFence(): Fence {
 		return (this.isOwner ? this.#view.value?.fence : undefined) ?? (0 as Fence);
 	}
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	Looks at the lease and does what is to be done. To be called a few times in each `ttlMs`.
+	Reads the lease unless it is held, then acquires or renews it as {@link decideLease} decides. To be called a few times in each `ttlMs`.
 
 	@param rank - See {@link LeaseRequest.rank}.
 	*/
@@ -87,7 +87,7 @@
 		await this.#carryOut(decision, now);
 	}
 
-	/** Gives the lease back, so that the next holder need not wait for it to lapse. */
+	/** Releases the lease, so that the next holder need not wait for it to expire. */
 	async release(): Promise<void> {
 		const {value, version} = this.#view;
 		if (!this.isHeld || !value || version === undefined) {
@@ -110,13 +110,13 @@
 			});
 	}
 
-	// Each change of hands is a change of an object, so no fencing number is above the object API's own version. Starting anew from 1 after the object was deleted, a holder would be refused by whoever has seen a higher number, for ever.
+	// Each change of holder is a change of an object, so no fencing number is above the object API's own version. A holder that started again from 1 after the object was deleted would be refused for ever by every process that has seen a higher number.
 	async #highestFence(): Promise<number | undefined> {
 		const listed = await this.#api.list('Lease', {prefix: this.#options.name, values: false, limit: 1});
 		return listed.toMaybe().extract()?.version;
 	}
 
-	// An operator cleared the lease away, or it was lost in a restore. Were the old view kept, every renewal would fail, and nobody would ever take the lease again.
+	// The lease was deleted by an operator, or was lost in a restore. With the old view, every renewal would fail, and no process would ever take the lease again.
 	#noteGone(err: ApiError) {
 		if (err.kind !== 'notFound' || !this.#view.value) {
 			return;
@@ -152,7 +152,7 @@
 			});
 	}
 
-	// After a conflict somebody else wrote; after an unknown outcome it may have been ourselves. Both are settled by the next look; until then an earlier renewal's deadline stands.
+	// After a conflict another process wrote; after an unknown outcome it may have been this one. The next read resolves both; until then the deadline of the earlier renewal applies.
 	#failed(err: ApiError) {
 		this.#noteGone(err);
 		if (err.kind !== 'conflict') {
--- a/src/common/lease.ts
+++ b/src/common/lease.ts
@@ -1,47 +1,47 @@
 /**
-Decides what to do about a lease. A lease is an object that its holder renews by conditional updates; others may take it when they have seen it unchanged for longer than it lasts, by their own monotonic clock, so that no two clocks are ever compared.
+Decides what to do about a lease. A lease is an object that its holder renews by conditional updates; other processes may take it once they have seen it unchanged for longer than its duration, by their own monotonic clock, so that no two clocks are ever compared.
 */
 import type {Branded, Fence, Revision} from './ids.js';
 
-/** Names a holder: one run of one process. */
+/** Identifies a holder: one run of one process. */
 export type HolderName = Branded<string, 'HolderName'>;
 
 /** The lease's value: kind `Lease`. */
 export type LeaseValue = {
-	/** Empty when it was given back. */
+	/** Empty after it was released. */
 	readonly holder: HolderName | '';
-	/** Grows each time the lease changes hands. */
+	/** Grows each time the lease changes its holder. */
 	readonly fence: Fence;
-	/** How long it lasts after a renewal was sent. */
+	/** Milliseconds that it lasts after a renewal was sent. */
 	readonly ttlMs: number;
 };
 
-/** What a process knows of a lease. */
+/** A process's view of a lease. */
 export type LeaseView = {
 	/** Undefined when the object does not exist. */
 	readonly value: LeaseValue | undefined;
 	readonly version: Revision | undefined;
 	/** The clock's `now` when this version was first seen here. */
 	readonly seenAt: number;
-	/** True when the object was there before: its last holder may still act for as long as the lease lasts. */
+	/** True when the object existed before: its last holder may still act until the lease expires. */
 	readonly isDeleted?: boolean;
 };
 
-/** What to do. */
+/** What to write, if anything. */
 export type LeaseDecision
 	= | {readonly kind: 'create'; readonly value: LeaseValue}
 		| {readonly kind: 'update'; readonly value: LeaseValue; readonly version: Revision}
 		| {readonly kind: 'wait'};
 
-/** Who asks, and with what claim. */
+/** The input of a decision. */
 export type LeaseRequest = {
 	readonly view: LeaseView;
 	readonly self: HolderName;
-	/** Place among those who may hold it: 0 takes it at once when it is free, the others give the ones before them time. */
+	/** Rank among the candidates: 0 takes a free lease at once, each further rank waits one `ttlMs` longer. */
 	readonly rank: number;
 	readonly ttlMs: number;
 	readonly now: number;
-	/** No fencing number above this was ever given out; 0 by default. */
+	/** No fencing number above this was ever issued; 0 by default. */
 	readonly highestFence?: number;
 };
 
@@ -53,7 +53,7 @@
 	return view.value?.holder === '' ? age >= patience : age >= (view.value?.ttlMs ?? ttlMs) + patience;
 };
 
-/** Decides about one lease at one moment. */
+/** Decides what to write at one moment. */
 export const decideLease = (question: LeaseRequest): LeaseDecision => {
 	const {view, self, rank, ttlMs, now, highestFence = 0} = question;
 	if (!view.value || view.version === undefined) {
--- a/src/common/long-prompts.ts
+++ b/src/common/long-prompts.ts
@@ -1,12 +1,12 @@
 /**
-Batch items whose prompts are too long to be computed beside online work. An engine computes such a prompt over many steps, each far longer than usual, and every online request in it waits with it; cancelling the item is the only way to stop that. So a long prompt gives way while online work is present: it is held back, or taken back before its first token. After a while it gives way no longer, since an accepted item must complete on an engine that is never without online work too.
+Batch items whose prompts are too long to be computed beside online work. An engine computes such a prompt over many steps, each far longer than usual, and delays every online request that it runs; cancelling the item is the only way to stop that. So a long prompt yields while online work is present: it is held back, or preempted before its first token. After {@link yieldPeriodMs} it no longer yields, since an accepted item must also complete on an engine that is never without online work.
 */
 import type {Clock} from './services.js';
 
-/** What is held back: a batch item by its key. */
+/** A batch item that can be held back, by its key. */
 export type LongPrompt = {readonly key: string};
 
-/** How long, in milliseconds since it could first have started, a long prompt gives way. */
+/** Milliseconds for which a long prompt yields, counted from when it could first have started. */
 export const yieldPeriodMs = 60_000;
 
 /** The long prompts of one agent. */
@@ -24,7 +24,7 @@
 		return this.#held.length;
 	}
 
-	/** True while the item is to make way for online work. */
+	/** True while the item has to yield to online work. The first call starts its yield period. */
 	shouldYield({key}: Item): boolean {
 		const until = this.#until.get(key) ?? this.#clock.now() + yieldPeriodMs;
 		this.#until.set(key, until);
@@ -36,7 +36,7 @@
 		this.#held.push(item);
 	}
 
-	/** Lets the items go that need not be held back any more, the first first. */
+	/** Releases the items that no longer have to be held back, the oldest first. */
 	release(isOnlinePresent: boolean): Item[] {
 		if (this.#held.length === 0) {
 			return [];
@@ -48,14 +48,14 @@
 		return released;
 	}
 
-	/** Takes an item out that is not to run any more. False when it is not held back. */
+	/** Removes an item that is no longer to run. False when it is not held back. */
 	remove({key}: LongPrompt): boolean {
 		const before = this.#held.length;
 		this.#held = this.#held.filter(item => item.key !== key);
 		return this.#held.length < before;
 	}
 
-	/** Forgets an item that has ended. */
+	/** Discards the yield period of an item that has ended. */
 	clearYieldDeadline(key: string): void {
 		this.#until.delete(key);
 	}
--- a/src/common/message-validators.ts
+++ b/src/common/message-validators.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the parameters that nodes send each other, by method. A peer of another version, or another process at a peer's old address, may send anything; what is taken unchecked breaks much later, when it is read: a count that is no object in the sums for a third node, a fencing number that is no number in each comparison after it.
+Validators of the parameters of messages between nodes, by method. A peer of another version, or another process at a peer's old address, may send anything; an unchecked value fails much later, when it is read: a count that is not an object in the sums of a third node, a fencing number that is not a number in each comparison after it.
 */
 import {
 	isNonNegativeNumber, isNonNegativeInteger, isBoolean, isObject, isString, isNonEmptyString, listOf, objectOf, oneOf, optional, type FieldValidator,
@@ -11,7 +11,7 @@
 
 const areFailedRuns = listOf(objectOf({run: isNonEmptyString, item: isNonEmptyString, replica: isNonEmptyString}));
 
-/** What is known of a batch item between its runs, also where it is written into the object API. */
+/** The state of a batch item between its runs, also as it is stored in the object API. */
 export const isItemProgress = objectOf({id: isNonEmptyString, events: listOf(isString), failedRuns: areFailedRuns});
 const isItemResult = objectOf({id: isNonEmptyString, state: oneOf('completed', 'errored'), output: isString});
 
@@ -19,7 +19,7 @@
 	jobId: isNonEmptyString, chunk: isNonNegativeInteger, inputName: isNonEmptyString, results: isNonEmptyString, fileId: isNonEmptyString, endpoint: isNonEmptyString, model: isNonEmptyString, account: isNonEmptyString, share: isNonNegativeNumber, fence: isNonNegativeInteger, expiresInMs: isNonNegativeNumber, isolate: isBoolean, round: isNonNegativeInteger,
 });
 
-/** The tests of all methods between nodes that take parameters. */
+/** Validators of all methods between nodes that take parameters. */
 export const messageValidators: Readonly<Record<string, FieldValidator>> = {
 	'config.changes': objectOf({
 		node: isNonEmptyString, since: isNonNegativeInteger, waitMs: isNonNegativeNumber, scope: optional(objectOf({kinds: optional(listOf(isNonEmptyString)), name: optional(isNonEmptyString)})), counts: optional(areCounts), wantsDigest: optional(isBoolean),
--- a/src/common/node-lifecycle.ts
+++ b/src/common/node-lifecycle.ts
@@ -18,7 +18,7 @@
 /** States of a process. */
 export type NodeState = 'starting' | 'serving' | 'draining' | 'stopped';
 
-/** What moves a process from one state to the next. */
+/** Events that move a process from one state to the next. */
 export type NodeEvent = 'started' | 'drain' | 'drained' | 'stop';
 
 /** One process's lifecycle. */
@@ -29,12 +29,12 @@
 		return this.#actor.getSnapshot().value as NodeState;
 	}
 
-	/** True while new work is taken. */
+	/** True while the process accepts new work. */
 	get isServing(): boolean {
 		return this.state === 'serving';
 	}
 
-	/** True once no new work is taken any more. */
+	/** True once the process no longer accepts new work. */
 	get isLeaving(): boolean {
 		return this.state === 'draining' || this.state === 'stopped';
 	}
@@ -49,7 +49,7 @@
 		};
 	}
 
-	/** Moves on; an event that the state does not know changes nothing. */
+	/** Applies an event; one that the current state does not handle changes nothing. */
 	send(event: NodeEvent): void {
 		if (this.state !== 'stopped') {
 			this.#actor.send({type: event});
--- a/src/common/parse-object.ts
+++ b/src/common/parse-object.ts
@@ -1,12 +1,12 @@
 /**
-Parses JSON that came from another process. What a peer or backend server sends can be broken; that is an outcome of the request, not a broken invariant of this process.
+Parses JSON from another process. Malformed data from a peer or backend server is an outcome of the request, not a violated invariant of this process.
 */
 import {Either, Left, Right} from 'purify-ts/Either';
 
 /**
 Parses a JSON object.
 
-@returns The object, or why there is none: the text is no JSON, or another kind of value. The object's fields are the caller's to check.
+@returns The object, or the reason why there is none: the text is not JSON, or is another kind of value. The caller has to check the object's fields.
 */
 export const parseObject = <T extends object>(text: string): Either<string, T> => Either
 	.encase(() => JSON.parse(text) as unknown)
--- a/src/common/placement-policy.ts
+++ b/src/common/placement-policy.ts
@@ -1,47 +1,47 @@
 /**
-Decides which engine gets which models and versions. Pure and level-triggered: it is asked over and over with what is, and moves it a step towards what is wanted, never below the replicas that must stay ready.
+Decides which engine gets which models and versions. Pure and level-triggered: each call takes the current state and moves it one step towards the desired state, never below the replicas that must stay ready.
 */
 import type {PlacedModel} from './placement.js';
 import {rankMembers} from './rendezvous.js';
 
-/** A model as operators want it. */
+/** A model's desired state, as operators set it. */
 export type DesiredModel = PlacedModel & {
-	/** Default: every server that may have it. */
+	/** Default: every server that is allowed to have it. */
 	readonly replicas?: number;
 	/** Default: one less than the replicas. */
 	readonly minReady?: number;
 };
 
-/** An engine as it is. */
+/** The current state of an engine. */
 export type PlacementServer = {
 	readonly vm: string;
 	readonly failureDomain: string;
 	/** Models that may be placed here. */
 	readonly allowed: readonly string[];
-	/** What it has loaded; undefined while nobody knows. */
+	/** The models it has loaded; undefined while unknown. */
 	readonly loaded: readonly PlacedModel[] | undefined;
-	/** What it was told to have; undefined before the first time. */
+	/** The models assigned to it; undefined before the first assignment. */
 	readonly assigned: readonly PlacedModel[] | undefined;
 };
 
-/** What one engine is to have. */
+/** The assignment of one engine. */
 export type PlacementChoice = {
 	readonly vm: string;
 	readonly models: readonly PlacedModel[];
 	readonly unload: readonly string[];
 };
 
-/** How far a model is. */
+/** The progress of a model's placement. */
 export type ModelProgress = {
 	readonly model: string;
-	/** Replicas aimed at: those wanted, or as many as there are servers for. */
+	/** Target number of replicas: those desired, or as many as there are servers for. */
 	readonly target: number;
 	readonly minReady: number;
 	/** Chosen servers that have any version. */
 	readonly ready: number;
 	/** Chosen servers that have the wanted version. */
 	readonly rolledOut: number;
-	/** Servers chosen, and those that came next. */
+	/** Servers chosen, and the next best ones. */
 	readonly chosen: readonly string[];
 	readonly runnersUp: readonly string[];
 };
@@ -58,12 +58,12 @@
 const isVersion = (model: PlacedModel | undefined, wanted: PlacedModel) => model?.version === wanted.version && model.adapter === wanted.adapter;
 const bare = ({model, version, adapter}: PlacedModel): PlacedModel => ({model, version, ...(adapter !== undefined && {adapter})});
 
-/** Loads under way: told, but not there. */
+/** Number of loads in progress: assigned, but not loaded yet. */
 const loadsUnderWay = (servers: readonly PlacementServer[]) => servers
 	.flatMap(({assigned, loaded}) => (assigned ?? []).filter(wanted => loaded !== undefined && !isVersion(modelIn(loaded, wanted.model), wanted)))
 	.length;
 
-/** Keeps who has the model, so that nothing is unloaded before as many others have it; then takes servers where the failure domain has the fewest. */
+/** Prefers servers that already have the model, so that nothing is unloaded before as many others have it; then servers in the failure domain with the fewest. */
 const chooseServers = (wanted: DesiredModel, candidates: readonly PlacementServer[], target: number) => {
 	const ranked = rankMembers(wanted.model, candidates.map(({vm}) => vm)).map(vm => candidates.find(server => server.vm === vm)!);
 	const weight = ({assigned, loaded}: PlacementServer) => (modelIn(loaded, wanted.model) ? 2 : 0) + (modelIn(assigned, wanted.model) ? 1 : 0);
@@ -82,7 +82,7 @@
 const planModel = (wanted: DesiredModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
 	const candidates = servers.filter(({allowed}) => allowed.includes(wanted.model));
 	const target = Math.min(wanted.replicas ?? candidates.length, candidates.length);
-	// Where nothing may be missing, no server could ever change its version.
+	// At least one replica may be missing, otherwise no server could ever change its version.
 	const minReady = Math.max(0, Math.min(wanted.minReady ?? target - 1, target - 1));
 	const {chosen, left} = chooseServers(wanted, candidates, target);
 	const isReady = ({loaded}: PlacementServer) => modelIn(loaded, wanted.model) !== undefined;
@@ -95,7 +95,7 @@
 			return [server.vm, bare(wanted)];
 		}
 
-		// An engine that changes its version may not answer meanwhile: it counts as missing.
+		// An engine that changes its version may not answer meanwhile, so it counts as missing.
 		const missing = isReady(server) ? 1 : 0;
 		if (loads <= 0 || (isReady(server) && mayMiss < 1)) {
 			return [server.vm, current && bare(current)];
@@ -121,10 +121,10 @@
 };
 
 /**
-Takes the next step.
+Computes the next step.
 
 @param servers - The live engines.
-@param maxLoads - Loads that may be under way at once, over the whole fleet: what the weight store bears.
+@param maxLoads - Loads that may be in progress at once in the whole fleet, limited by the capacity of the weight store.
 */
 export const placeModels = (wanted: readonly DesiredModel[], servers: readonly PlacementServer[], maxLoads: number): Placement => {
 	let spareLoads = maxLoads - loadsUnderWay(servers);
--- a/src/common/placement.ts
+++ b/src/common/placement.ts
@@ -1,9 +1,9 @@
 /**
-What the placement tells an agent, and how the agent comes from what its engine has loaded to that.
+The assignments that the placement writes for agents, and the orders that bring an engine from its loaded models to its assignment.
 */
 import type {Fence, Revision} from './ids.js';
 
-/** A model as an engine has it, or is to have it. */
+/** A model that an engine has loaded, or is to load. */
 export type PlacedModel = {
 	readonly model: string;
 	/** The key of the weights in the weight store; engines name versions by it. */
@@ -11,26 +11,26 @@
 	readonly adapter?: string;
 };
 
-/** What one engine is to have loaded: kind `Assignment`, named after the VM. */
+/** The models that one engine is to have loaded: kind `Assignment`, named after the VM. */
 export type Assignment = {
 	/** The fencing number of the placement's lease when this was written. */
 	readonly fence: Fence;
 	readonly models: readonly PlacedModel[];
-	/** Models to be unloaded. One that is in neither list is none of the placement's business. */
+	/** Models to be unloaded. A model in neither list is not managed by the placement. */
 	readonly unload: readonly string[];
 };
 
-/** Who holds the placement, and what it knew when it began: kind `Assignment`, named {@link placementEpochName}. */
+/** The holder of the placement's lease, and the assignments it had read when it took over: kind `Assignment`, named {@link placementEpochName}. */
 export type PlacementEpoch = {
 	readonly fence: Fence;
-	/** Assignments up to this version were known to the holder when it took over, whoever wrote them. */
+	/** The holder had read the assignments up to this version when it took over, whoever wrote them. */
 	readonly knownUpTo: Revision;
 };
 
-/** The placement's lease. */
+/** The name of the placement's lease. */
 export const placementLeaseName = 'placement';
 
-/** The epoch's name; no VM is called so. */
+/** The name of the epoch's object; no VM has this name. */
 export const placementEpochName = '_epoch';
 
 /** An order to an engine. */
@@ -38,7 +38,7 @@
 
 const isSame = (a: PlacedModel, b: PlacedModel) => a.model === b.model && a.version === b.version && a.adapter === b.adapter;
 
-/** The orders that are left to give: loads first, so that what leaves has been replaced. */
+/** Returns the orders that are still to be executed: loads first, so that a model is replaced before it is unloaded. */
 export const ordersFor = (assignment: Assignment, loaded: readonly PlacedModel[]): readonly ModelOrder[] => {
 	const loads = assignment.models.filter(wanted => !loaded.some(model => isSame(model, wanted)));
 	const unloads = loaded.filter(({model}) => assignment.unload.includes(model));
@@ -49,6 +49,6 @@
 };
 
 /**
-Whether an assignment still counts. A holder that was paused past its lease may write one when it wakes up; it carries the old number, and its version is one that the new holder had not seen when it began.
+Whether an assignment is still valid. A holder that was paused for longer than its lease may write one when it resumes; it carries the old fencing number, and its version is one that the new holder had not read when it took over.
 */
 export const isCurrentAssignment = (assignment: Pick<Assignment, 'fence'>, version: Revision, epoch: PlacementEpoch): boolean => assignment.fence >= epoch.fence || version <= epoch.knownUpTo;
--- a/src/common/prefix-blocks.ts
+++ b/src/common/prefix-blocks.ts
@@ -1,5 +1,5 @@
 /**
-Cuts a prompt into the blocks in which engines cache prefixes. A block's hash covers all text before it as well, so two prompts share a block's hash only when they agree from their start to the end of that block.
+Splits a prompt into the blocks in which engines cache prefixes. A block's hash also covers all text before it, so two prompts share a block's hash only when they are equal from their start to the end of that block.
 */
 import {branded, type BlockHash} from './ids.js';
 import {h64ToString} from './xxhash.js';
--- a/src/common/prefix-index.ts
+++ b/src/common/prefix-index.ts
@@ -1,5 +1,5 @@
 /**
-What an entry knows of the prompt blocks that replicas hold. Agents confirm blocks with the end of an answer, and tell dropped blocks with sequence numbers; a gap in the numbers means that drops were missed, so everything known of that replica is forgotten: a wrong belief would send a long prompt to a replica that must compute it anew, while a forgotten block costs one comparison of loads.
+An entry's index of the prompt blocks that replicas hold. Agents confirm blocks at the end of an answer, and report dropped blocks with sequence numbers; a gap in the numbers means that drops were missed, so all blocks of that replica are removed: a block indexed by mistake would send a long prompt to a replica that must compute it again, while a missing one costs one comparison of loads.
 */
 import type {BlockHash, VmName} from './ids.js';
 import {tokensPerBlock} from './prefix-blocks.js';
@@ -11,7 +11,7 @@
 	/** The sequence number up to which it goes. */
 	readonly to: number;
 	readonly blocks: readonly BlockHash[];
-	/** Last blocks of prompts answered in the meantime, which the engine still held at the end. */
+	/** Last blocks of prompts answered in between, which the engine still held at the end. */
 	readonly stored?: readonly BlockHash[];
 };
 
@@ -22,21 +22,21 @@
 	readonly #known = new Map<VmName, Known>();
 	readonly #maxBlocks: number;
 
-	/** @param maxBlocks - Blocks remembered of a replica; the oldest go first. A block takes about 100 bytes. */
+	/** @param maxBlocks - Blocks stored per replica; the oldest are removed first. A block takes about 100 bytes. */
 	constructor(maxBlocks: number) {
 		this.#maxBlocks = maxBlocks;
 	}
 
-	/** The sequence number up to which a replica's drops are known; 0 when nothing is known of it. */
+	/** The sequence number up to which a replica's drops were received; 0 for a replica without any record. */
 	seqOf(vm: VmName): number {
 		return this.#known.get(vm)?.seq ?? 0;
 	}
 
-	/** Takes over blocks that the replica held at sequence number `seq`. */
+	/** Adds blocks that the replica held at sequence number `seq`. */
 	confirmed(vm: VmName, blocks: readonly BlockHash[], seq: number): void {
 		const known = this.#known.get(vm) ?? {seq, blocks: new Set<BlockHash>()};
 		this.#known.set(vm, known);
-		// Confirmed before drops that are known already: the blocks may be among them.
+		// The confirmation is older than drops already received, and its blocks may be among them.
 		if (seq < known.seq) {
 			return;
 		}
@@ -44,7 +44,7 @@
 		this.#add(known, blocks);
 	}
 
-	/** Takes over drops; forgets all of the replica's blocks when some drops are missing between the known ones and these. */
+	/** Applies drops; removes all of the replica's blocks when drops are missing between those received before and these. */
 	dropped(vm: VmName, drops: CacheDrops): void {
 		const known = this.#known.get(vm) ?? {seq: drops.from, blocks: new Set<BlockHash>()};
 		this.#known.set(vm, known);
@@ -59,12 +59,12 @@
 		this.#add(known, drops.stored ?? []);
 	}
 
-	/** Forgets a replica, for instance when its process was restarted. */
+	/** Removes a replica, for instance when its process was restarted. */
 	removeReplica(vm: VmName): void {
 		this.#known.delete(vm);
 	}
 
-	/** The tokens at the start of a prompt that the replica is known to hold. A block's hash covers all text before it and engines drop a prompt's end first, so the last known block stands for those before it. */
+	/** The tokens at the start of a prompt that the replica is known to hold. A block's hash covers all text before it and engines drop a prompt's end first, so the last indexed block implies those before it. */
 	cachedTokens(vm: VmName, prompt: readonly BlockHash[]): number {
 		const blocks = this.#known.get(vm)?.blocks;
 		if (!blocks) {
--- a/src/common/prompt-text.ts
+++ b/src/common/prompt-text.ts
@@ -25,7 +25,7 @@
 /**
 The canonical prompt text of a request.
 
-@returns Of `messages`, each as its role, a line feed, its content and a line feed; parts of a content that are not text are left out. Else the `prompt`, several of them joined. An empty string when there is neither.
+@returns The text of `messages`, each as its role, a line feed, its content and a line feed; parts of a content that are not text are left out. Without messages, the `prompt`, several of them joined. An empty string when there is neither.
 */
 export const promptTextOf = (body: PromptBody): string => {
 	if (Array.isArray(body.messages)) {
--- a/src/common/protocol.ts
+++ b/src/common/protocol.ts
@@ -1,5 +1,5 @@
 /**
-The messages between an entry and an agent. An online request is one or more attempts; an attempt is one HTTP request to an agent, answered by an event stream whose events carry the index of the chunk, so that a stream that broke is taken up where it stopped.
+The messages between an entry and an agent. An online request is one or more attempts; an attempt is one HTTP request to an agent, answered by an event stream whose events carry the index of the chunk, so that an interrupted stream can be resumed where it stopped.
 */
 import type {ResultPrefix} from './batch-types.js';
 import type {
@@ -8,19 +8,19 @@
 import type {CacheDrops} from './prefix-index.js';
 import type {PlacedModel} from './placement.js';
 
-/** Names one run of an agent process; a restarted agent has another, and knows nothing of the requests before. */
+/** Identifies one run of an agent process; a restarted agent has another one, and no record of earlier requests. */
 export type Incarnation = Branded<string, 'Incarnation'>;
 
-/** Online work goes before batch work everywhere. */
+/** Online work takes precedence over batch work everywhere. */
 export type WorkClass = 'online' | 'batch';
 
-/** What a refusal or failure says about the work: `notRun` only when it can not run any more. */
+/** Whether refused or failed work was run: `notRun` only when it can no longer run. */
 export type RunState = 'notRun' | 'run' | 'unknown';
 
-/** A JSON object as it came from a caller. */
+/** A JSON object as received from a caller. */
 export type JsonObject = Readonly<Record<string, unknown>>;
 
-/** How far an answer had come elsewhere. */
+/** The part of an answer that was generated elsewhere. */
 export type ResumePoint = {
 	/** The text generated so far. */
 	readonly text: string;
@@ -70,17 +70,17 @@
 
 /** An attempt that an entry sends to an agent. */
 export type AttemptRequest = AttemptKey & {
-	/** The incarnation the entry believes to reach; any other refuses. */
+	/** The incarnation that the entry addresses; any other refuses. */
 	readonly incarnation: Incarnation;
-	/** {@link LoadReport.at} of the report by which the replica was chosen; tells the agent the attempt's age on its own clock. */
+	/** {@link LoadReport.at} of the report by which the replica was chosen, from which the agent computes the attempt's age on its own clock. */
 	readonly issuedAt: number;
-	/** False: once begun it is never cancelled, so that its outcome stays known to whoever asks for it. */
+	/** False: once started it is never cancelled, so that its outcome can still be requested. */
 	readonly idempotent: boolean;
 	readonly account: AccountName;
 	/** The account's weight among accounts. */
 	readonly share: number;
 	readonly work: BackendWork;
-	/** Milliseconds from now until the answer is of no use. */
+	/** Milliseconds from now until its deadline. */
 	readonly deadlineInMs: number;
 	/** Estimated tokens of the prompt that are not cached, and of the answer. */
 	readonly costTokens: number;
@@ -88,23 +88,23 @@
 	readonly promptTokens?: number;
 };
 
-/** The header that names who reads an attempt's stream; see {@link LedgerReader.name}. */
+/** The header that names the reader of an attempt's stream; see {@link LedgerReader.name}. */
 export const readerHeader = 'x-citronyard-reader';
 
-/** Names of the events in an attempt's stream. `load` comes first: the agent's load with this attempt counted, so that views are late by one way only. */
+/** Names of the events in an attempt's stream. `load` comes first: the agent's load including this attempt, so that the entry's view lags by one network direction only. */
 export const attemptEvents = ['load', 'chunk', 'end', 'refused', 'failed'] as const;
 
 /** One of {@link attemptEvents}. */
 export type AttemptEventName = (typeof attemptEvents)[number];
 
-/** The answer is whole. */
+/** The end of a complete answer. */
 export type AttemptEnd = {
 	/** Chunks in the whole attempt. */
 	readonly chunks: number;
 	readonly load: LoadReport;
 	/** Blocks of the prompt that the engine holds now. */
 	readonly cachedBlocks: readonly BlockHash[];
-	/** The number of the engine's cache event up to which `cachedBlocks` is true. */
+	/** The number of the engine's cache event up to which `cachedBlocks` is valid. */
 	readonly cacheSeq?: number;
 };
 
@@ -118,9 +118,9 @@
 /** Why an agent refuses work. */
 export type RefusalReason = 'draining' | 'queueFull' | 'deadline' | 'revoked' | 'otherIncarnation' | 'notServed' | 'cancelled' | 'backendUnreachable';
 
-/** The attempt was run and has no whole answer. */
+/** The attempt was run and has no complete answer. */
 export type AttemptFailure = {
-	/** `rejected`: the backend server's own error, final. `backendLost`: it went away; another may answer. */
+	/** `rejected`: the backend server's own error, final. `backendLost`: the backend server was lost; another may answer. */
 	readonly kind: 'rejected' | 'backendLost';
 	readonly reason: string;
 	/** The backend server's status and body, for `rejected`. */
@@ -128,7 +128,7 @@
 	readonly body?: string;
 };
 
-/** What an agent says of itself; rides on answers and on the answers to `agent.load`. */
+/** An agent's report of its own state; sent with answers and in the answers to `agent.load`. */
 export type LoadReport = {
 	readonly vm: VmName;
 	readonly incarnation: Incarnation;
@@ -141,16 +141,16 @@
 	readonly running: number;
 	/** Online requests in the agent's queue. */
 	readonly queued: number;
-	/** Tokens of those still to be computed: prompts not yet read, and answers not yet written. */
+	/** Tokens of those still to be computed: prompts not yet computed, and answers not yet generated. */
 	readonly pendingTokens: number;
 	readonly batchRunning: number;
-	/** Chunks of batch work it would take now. */
+	/** Chunks of batch work that it would accept now. */
 	readonly batchRoom: number;
 	/** Requests that the backend server runs at once. */
 	readonly maxRunning: number;
-	/** Changes of the engine's cache, when they were asked for. */
+	/** Changes of the engine's cache, when they were requested. */
 	readonly cache?: CacheDrops;
-	/** Models that the engine had loaded when it was last asked; undefined when it is not known, or for a plain service. */
+	/** Models that the engine had loaded when it was last polled; undefined when unknown, or for a plain service. */
 	readonly loaded?: readonly PlacedModel[];
 	/** The newest configuration in force at the agent. */
 	readonly configRevision: Revision;
@@ -158,11 +158,11 @@
 
 /** What an agent answers when an attempt is cancelled. */
 export type CancelAnswer = {
-	/** Whether its run was under way, and was stopped by this. */
+	/** Whether its run was in progress, and was stopped by this call. */
 	readonly isStopped: boolean;
 };
 
-/** Asks an agent to revoke an attempt that has not begun. */
+/** Asks an agent to revoke an attempt that has not started. */
 export type RevokeRequest = {
 	readonly key: AttemptKey;
 	/** As in {@link AttemptRequest}. */
@@ -170,19 +170,19 @@
 	readonly deadlineInMs: number;
 };
 
-/** What the ledger answers about an attempt. */
+/** The ledger's answer about an attempt. */
 export type LedgerAnswer = {
-	/** `revoked`: it had not begun and never will. `running`, `done`: take up its stream. `unknown`: it is older than the ledger's memory. */
+	/** `revoked`: it had not started and never will. `running`, `done`: its stream can be resumed. `unknown`: it is older than the ledger's retention. */
 	readonly state: 'revoked' | 'running' | 'done' | 'unknown';
 	readonly incarnation: Incarnation;
 };
 
-/** A part of a batch job that a coordinator gives to an agent. */
+/** A chunk of a batch job that a coordinator grants to an agent. */
 export type ChunkGrant = {
 	readonly jobId: JobId;
 	readonly chunk: number;
 	readonly inputName: string;
-	/** Where its result belongs. */
+	/** The prefix of the name of its result. */
 	readonly results: ResultPrefix;
 	readonly fileId: FileId;
 	readonly endpoint: string;
@@ -191,27 +191,27 @@
 	readonly share: number;
 	/** The fencing number of the coordinator's lease. */
 	readonly fence: Fence;
-	/** Milliseconds after which the grant lapses unless renewed. */
+	/** Milliseconds after which the grant expires unless renewed. */
 	readonly expiresInMs: number;
-	/** True runs the items one by one, after runs of this chunk took their agents down. */
+	/** True runs the items one by one, after agents were lost while they ran this chunk. */
 	readonly isolate: boolean;
 	/** The coordinator's round, see {@link RenewRequest.round}. */
 	readonly round: number;
 };
 
-/** How far an agent has come with a chunk. */
+/** An agent's progress with a chunk. */
 export type ChunkReport = {
 	readonly jobId: JobId;
 	readonly chunk: number;
-	/** As in {@link ChunkGrant}: tells the chunk of a job from that of an earlier one with the same id. */
+	/** As in {@link ChunkGrant}: distinguishes the chunk of a job from that of an earlier one with the same id. */
 	readonly results: ResultPrefix;
-	/** `superseded`: the result was there already, written by another run; its counts are not those of this report. */
+	/** `superseded`: the result existed already, written by another run; its counts are not those of this report. */
 	readonly state: 'running' | 'committing' | 'committed' | 'superseded';
 	readonly completed: number;
 	readonly failed: number;
 };
 
-/** Names a chunk of a job. */
+/** Identifies a chunk of a job. */
 export type ChunkKey = {readonly jobId: JobId; readonly chunk: number};
 
 /** A grant, as a coordinator sends it. */
@@ -221,23 +221,23 @@
 	readonly grant: ChunkGrant;
 };
 
-/** Whether a grant was taken. */
+/** Whether a grant was accepted. */
 export type GrantAnswer = {readonly accepted: boolean; readonly reason?: 'draining' | 'full' | 'staleFence'};
 
-/** What a coordinator asks when it renews its grants at an agent. */
+/** A coordinator's request to renew its grants at an agent. */
 export type RenewRequest = {
 	readonly shard: string;
 	readonly fence: Fence;
-	/** Counts the coordinator's exchanges. A renewal leaves grants of later rounds alone: one that was long under way must not take back what was granted after it was sent. */
+	/** Counts the coordinator's exchanges. A renewal does not affect grants of later rounds: a delayed one must not revoke what was granted after it was sent. */
 	readonly round: number;
 	readonly expiresInMs: number;
-	/** The grants that stay; all others of this shard are taken back. `all` keeps them all: a new coordinator takes the work under way over. */
+	/** The grants to retain; all others of this shard are revoked. `all` retains all of them: a new coordinator takes over the work in progress. */
 	readonly keep: readonly ChunkKey[] | 'all';
 };
 
-/** What an agent answers to a renewal. */
+/** An agent's answer to a renewal. */
 export type RenewAnswer = {
-	/** False when a coordinator with a higher fencing number has been here: nothing was renewed. */
+	/** False when a coordinator with a higher fencing number has contacted the agent: nothing was renewed. */
 	readonly accepted: boolean;
 	readonly reports: readonly ChunkReport[];
 	/** See {@link LoadReport.batchRoom}. */
--- a/src/common/recorded-draws.ts
+++ b/src/common/recorded-draws.ts
@@ -1,11 +1,11 @@
 /**
-Remembers what a decision drew by chance, so that the decision can be made again from its record.
+Records the random numbers that a decision draws, so that the decision can be replayed from its record.
 */
 import type {RandomSource} from './services.js';
 
-/** Passes draws on from another source and keeps them. */
+/** Forwards draws from another source and records them. */
 export class RecordedDraws implements RandomSource {
-	/** What was drawn, in order. */
+	/** The numbers drawn, in order. */
 	readonly draws: number[] = [];
 	readonly #source: RandomSource;
 
--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -1,12 +1,12 @@
 /**
-Rendezvous hashing: every node ranks the same members for a key in the same order without talking, and a member that comes or goes changes only the ranks below it.
+Rendezvous hashing: every node ranks the same members for a key in the same order without coordination, and a member that is added or removed changes only the ranks below it.
 */
 import {h64ToString} from './xxhash.js';
 
 /**
 Ranks members for a key, the first being responsible.
 
-@param key - What is to be looked after.
+@param key - Identifies what the members are ranked for.
 @param members - Names, in any order.
 */
 export const rankMembers = (key: string, members: readonly string[]): string[] => members
--- a/src/common/replayed-draws.ts
+++ b/src/common/replayed-draws.ts
@@ -1,5 +1,5 @@
 /**
-Gives a decision the draws that its record holds.
+Supplies a replayed decision with the recorded random numbers.
 */
 import type {RandomSource} from './services.js';
 
@@ -11,7 +11,7 @@
 		this.#left = [...draws];
 	}
 
-	/** Draws that were not asked for. */
+	/** Number of draws that were not used. */
 	get left(): number {
 		return this.#left.length;
 	}
--- a/src/common/replica-table.ts
+++ b/src/common/replica-table.ts
@@ -1,5 +1,5 @@
 /**
-What this entry knows of the replicas: from the VM list, from their own reports, and from its own requests under way. All of it is late; each view carries the time it was heard.
+An entry's view of the replicas: from the VM list, from their own reports, and from its own requests in progress. All of it lags; each view carries the time of the last report.
 */
 import type {FailureDomain, VmName} from './ids.js';
 import {PrefixIndex} from './prefix-index.js';
@@ -7,53 +7,53 @@
 import type {Clock} from './services.js';
 import type {VmEntry} from './types.js';
 
-/** One replica as this entry sees it. */
+/** An entry's view of one replica. */
 export type ReplicaView = {
 	readonly vm: VmName;
 	readonly address: string;
 	readonly failureDomain: FailureDomain;
-	/** Leaving by the VM list. */
+	/** True when the VM list shows the VM as leaving, or no longer contains it. */
 	readonly leaving: boolean;
 	readonly load: LoadReport | undefined;
-	/** The clock's `now` when the replica was last heard; negative infinity before the first time. */
+	/** The clock's `now` when the last report was received; negative infinity before the first. */
 	readonly heardAt: number;
 	/** Requests of this entry that the replica has not answered yet. */
 	readonly ownInFlight: number;
-	/** Tokens of those that were sent after the last report, which the report can not count. */
+	/** Tokens of those that were sent after the last report, which the report does not include. */
 	readonly ownTokensSince: number;
-	/** Failures in a row. */
+	/** Consecutive failures. */
 	readonly failures: number;
-	/** Why the last exchange failed; left out before the first failure. */
+	/** Reason of the last failed exchange; left out before the first failure. */
 	readonly lastFailure?: string;
 };
 
-/** What is known of a target's replicas, for a line that tells why none of them gets work. */
+/** The availability of a target's replicas, for the log line that explains why none of them gets work. */
 export type TargetAvailability = {
-	/** Replicas of any kind. */
+	/** Replicas of all targets. */
 	readonly replicas: number;
-	/** Replicas whose last report says that they serve the target. */
+	/** Replicas whose last report lists the target. */
 	readonly serving: number;
-	/** Age of the youngest of their reports, in milliseconds; left out where there is none. */
+	/** Age of the newest of their reports, in milliseconds; left out where there is none. */
 	readonly heardMs?: number;
-	/** Why the last exchange with that replica failed. */
+	/** Reason of the last failed exchange with the replica that sent it. */
 	readonly lastFailure?: string;
 };
 
 type Row = {-readonly [Key in keyof ReplicaView]: ReplicaView[Key]} & {
 	missed: number;
-	/** When its reports stopped naming a target, by target. */
+	/** Time when its reports stopped listing a target, by target. */
 	readonly stoppedServingAt: Map<string, number>;
 };
 
-// The list lags and may miss a VM for a read; one that still answers is dropped only after this many lists without it.
+// The list lags and may omit a VM once; a replica without requests in progress is removed only after this many lists without it.
 const missesBeforeDrop = 2;
-/** While no replica is heard, each keeps getting work for this many times longer; after that this process is cut off, and refuses at once. */
+/** While all replicas are unresponsive, the report timeout is multiplied by this factor; after that this process is considered disconnected, and refuses at once. */
 export const allUnresponsiveFactor = 3;
 
 // About 200 kB for each replica at the most.
 const maxPrefixBlocks = 2000;
 
-/** True when a replica may get new work: it serves the target, is not leaving, and was heard of late. */
+/** True when a replica may get new work: it serves the target, is not leaving or draining, and has sent a report within `silentMs`. */
 export const isRoutable = ({leaving, load, heardAt}: ReplicaView, {target, now, silentMs}: {readonly target: string; readonly now: number; readonly silentMs: number}): boolean => !leaving
 	&& load !== undefined
 	&& !load.draining
@@ -84,11 +84,11 @@
 		return this.#rows.get(vm);
 	}
 
-	/** Takes over the VM list's backend server VMs. */
+	/** Applies the backend server VMs of the VM list. */
 	applyVmList(vms: readonly VmEntry[]): void {
 		const listed = new Map(vms.filter(vm => vm.role === 'backend').map(vm => [vm.name, vm]));
 		if (listed.size === 0 && this.#rows.size > 0) {
-			// A list without a single backend server is a fault of the platform sooner than the end of the fleet, and believing it would refuse every request. The replicas' own reports go on saying who is there.
+			// A list without a single backend server is more likely a fault of the platform than the end of the fleet, and applying it would refuse every request. The replicas' own reports still show which of them are available.
 			return;
 		}
 
@@ -97,7 +97,7 @@
 		});
 		[...this.#rows.values()].filter(row => !listed.has(row.vm)).forEach(row => {
 			row.missed += 1;
-			// No more work from the first list on that lacks it.
+			// It gets no new work from the first list on that omits it.
 			row.leaving = true;
 			if (row.missed >= missesBeforeDrop && row.ownInFlight === 0) {
 				this.#rows.delete(row.vm);
@@ -106,7 +106,7 @@
 		});
 	}
 
-	/** Takes over a report that came by any way. One that a later report has overtaken shows only that the replica answers. */
+	/** Applies a report, received by any channel. One that is older than the last report only shows that the replica is responsive. */
 	applyReport(vm: VmName, load: LoadReport): void {
 		const row = this.#rows.get(vm);
 		if (row && isOvertaken(load, row.load)) {
@@ -123,9 +123,9 @@
 	}
 
 	/**
-	This process was paused: what the replicas said meanwhile is still unread. Without this, all of them would look silent at once, and callers be told that there is none.
+	Compensates for a pause of this process, during which reports of the replicas were not read. Otherwise all replicas would appear unresponsive at once, and callers would be refused for lack of a replica.
 
-	@param ms - For how long.
+	@param ms - Milliseconds that the pause lasted.
 	*/
 	compensateForPause(ms: number): void {
 		this.#rows.forEach(row => {
@@ -142,7 +142,7 @@
 		}
 	}
 
-	/** Counts a request of ours that goes to the replica. */
+	/** Counts a request of this entry that is sent to the replica. */
 	began(vm: VmName, tokens: number): void {
 		const row = this.#rows.get(vm);
 		if (row) {
@@ -151,7 +151,7 @@
 		}
 	}
 
-	/** Counts the end of a request of ours. */
+	/** Counts the end of a request of this entry. */
 	ended(vm: VmName): void {
 		const row = this.#rows.get(vm);
 		if (row) {
@@ -160,7 +160,7 @@
 	}
 
 	/**
-	Milliseconds without a report after which a replica gets no new work at this moment. When all are silent at once, more likely this process cannot hear, for instance on a busy machine, than that all have ended in the same second: they get work for longer, or every caller would be told that there is no replica.
+	Milliseconds without a report after which a replica currently gets no new work. When all replicas are unresponsive at once, it is more likely that this process can not receive reports, for instance on a busy machine, than that all replicas failed within the same second: they get work for longer, otherwise every caller would be refused for lack of a replica.
 	*/
 	effectiveReportTimeoutMs(now = this.#clock.now()): number {
 		const rows = [...this.#rows.values()];
@@ -174,13 +174,13 @@
 		return [...this.#rows.values()].filter(row => isRoutable(row, {target, now, silentMs}));
 	}
 
-	/** Replicas that are heard and whose reports have stopped naming the target within some milliseconds: a backend server that restarts may serve it again by now. */
+	/** Responsive replicas whose reports stopped listing the target within the last `withinMs` milliseconds: a backend server that restarts may serve it again by now. */
 	stoppedServing(target: string, withinMs: number): ReplicaView[] {
 		const since = this.#clock.now() - withinMs;
 		return [...this.#rows.values()].filter(row => !row.leaving && row.heardAt > since && (row.stoppedServingAt.get(target) ?? -Infinity) > since);
 	}
 
-	/** True when some replica serves the target, be it reachable now or not. */
+	/** True when any replica serves the target, whether or not it is reachable now. */
 	isServed(target: string): boolean {
 		return [...this.#rows.values()].some(row => row.load?.serves.includes(target));
 	}
--- a/src/common/request-ledger.ts
+++ b/src/common/request-ledger.ts
@@ -1,21 +1,21 @@
 /**
-The agent's ledger of attempts. It answers what became of an attempt whose connection was lost, keeps the chunks of an answer so that its stream can be taken up again, and records revocations, which make "not run" true: a revoked attempt that arrives late is refused.
+The agent's ledger of attempts. It reports the state of an attempt whose connection was lost, retains the chunks of an answer so that its stream can be resumed, and records revocations, which make "not run" reliable: a revoked attempt that arrives late is refused.
 
-It forgets, and must not mistake what it forgot for what never came. So every attempt, and every question about one, carries the time of the report of load by which the replica was chosen, on this agent's own clock: what is older than the ledger's memory is neither run nor called "not run".
+Entries expire, and an expired attempt must not be mistaken for one that never arrived. So every attempt, and every query about one, carries the time of the load report by which the replica was chosen, on this agent's own clock: an attempt older than the ledger's retention is neither run nor reported as "not run".
 */
 import type {AttemptKey, Incarnation, LedgerAnswer} from './protocol.js';
 import type {Clock} from './services.js';
 
-/** What is kept of an answer: chunks as the backend server sent them, then the last event. */
+/** The final event of an answer, after the chunks as the backend server sent them. */
 export type LedgerEnd = {readonly event: 'end' | 'failed' | 'refused'; readonly data: string};
 
-/** Receives the rest of an attempt's answer. */
+/** Receives the remaining part of an attempt's answer. */
 export type LedgerReader = {
-	/** Names who reads. A reader takes the place of an earlier one of the same name, whose connection is taken for lost. */
+	/** The reader's name. A reader replaces an earlier one of the same name, whose connection is assumed to be lost. */
 	readonly name: string;
 	chunk(index: number, data: string): void;
 	end(end: LedgerEnd): void;
-	/** Another reader of the same name has come. */
+	/** Called when another reader of the same name has replaced this one. */
 	replaced(): void;
 };
 
@@ -23,40 +23,40 @@
 export type LedgerLimits = {
 	/** Milliseconds that an ended answer stays readable. */
 	readonly retainMs: number;
-	/** Bytes of ended answers kept at the most; the oldest lose their chunks first. */
+	/** Maximum bytes of ended answers that are retained; the oldest lose their chunks first. */
 	readonly retainBytes: number;
 };
 
-/** An attempt and the agent's clock when the report was made by which it was sent here. */
+/** An attempt, with the time on the agent's clock of the load report by which its replica was chosen. */
 export type IssuedAttempt = AttemptKey & {readonly issuedAt: number};
 
 /** The outcome of {@link RequestLedger.begin}. */
 export type BeginOutcome = 'new' | 'known' | 'revoked';
 
-/** How long the ledger remembers at least what became of an attempt, its chunks aside. */
+/** Minimum time in milliseconds for which the ledger retains the state of an attempt; its chunks may be dropped earlier. */
 export const ledgerRetentionMs = 300_000;
 
 type Entry = {
 	state: 'queued' | 'running' | 'done' | 'revoked';
-	/** The chunks kept; empty again once they are dropped. */
+	/** The chunks retained; empty again once they are dropped. */
 	chunks: string[];
-	/** Chunks that the answer has, kept or not. */
+	/** Number of chunks of the answer, retained or not. */
 	count: number;
 	/** Bytes in `chunks`. */
 	bytes: number;
 	end?: LedgerEnd;
 	readers?: Map<string, LedgerReader>;
-	/** True once a reader has had the whole answer. */
+	/** True once a reader has received the complete answer. */
 	isDelivered: boolean;
 	/** When the chunks are dropped. */
 	readableUntil: number;
-	/** When the entry is forgotten. */
+	/** When the entry is removed. */
 	until: number;
 };
 
 const nameOf = (key: AttemptKey) => `${key.id}/${key.attempt}`;
 
-/** Keeps attempts by id and attempt number. */
+/** Stores attempts by id and attempt number. */
 export class RequestLedger {
 	readonly #entries = new Map<string, Entry>();
 	readonly #clock: Clock;
@@ -70,17 +70,17 @@
 		this.#incarnation = incarnation;
 	}
 
-	/** Attempts known, ended ones included. */
+	/** Number of attempts, including ended ones. */
 	get size(): number {
 		return this.#entries.size;
 	}
 
-	/** Bytes of ended answers that are kept. */
+	/** Bytes of ended answers that are retained. */
 	get endedBytes(): number {
 		return this.#endedBytes;
 	}
 
-	/** Answers that are still readable and that no reader has had to the end. */
+	/** Number of answers that are still readable and that no reader has received completely. */
 	get undelivered(): number {
 		const now = this.#clock.now();
 		return [...this.#entries.values()].filter(entry => entry.state === 'done' && !entry.isDelivered && entry.readableUntil > now).length;
@@ -89,7 +89,7 @@
 	/**
 	Records an attempt that arrived.
 
-	@param deadlineInMs - Milliseconds until its deadline; it is remembered longer than that.
+	@param deadlineInMs - Milliseconds until its deadline; the entry is retained for longer.
 	@returns `revoked` when it must not run.
 	*/
 	begin(attempt: IssuedAttempt, deadlineInMs: number): BeginOutcome {
@@ -98,7 +98,7 @@
 			return known.state === 'revoked' ? 'revoked' : 'known';
 		}
 
-		// A request can lie in the buffers of a silent connection for many minutes and arrive after its revocation was forgotten.
+		// A request can stay in the buffers of an unresponsive connection for many minutes and arrive after its revocation was removed.
 		if (this.#isBeyondMemory(attempt)) {
 			return 'revoked';
 		}
@@ -107,7 +107,7 @@
 		return 'new';
 	}
 
-	/** Says that the backend server was given the attempt: from now on it counts as run. */
+	/** Records that the attempt was passed to the backend server: from now on it counts as run. */
 	start(key: AttemptKey): void {
 		const entry = this.#entries.get(nameOf(key));
 		if (entry?.state === 'queued') {
@@ -151,9 +151,9 @@
 	}
 
 	/**
-	Gives a reader everything from chunk `from` on, and what comes later. Several may read one answer, for instance for a caller who sent its request again through another entry.
+	Sends a reader all chunks from `from` on, and those that follow. Several readers may read one answer, for instance for a caller who sent its request again through another entry.
 
-	@returns False when the attempt is unknown, revoked before it arrived, or its chunks are no longer kept.
+	@returns False when the attempt is unknown, was revoked before it arrived, or its chunks are no longer retained.
 	*/
 	read(key: AttemptKey, from: number, reader: LedgerReader): boolean {
 		const entry = this.#entries.get(nameOf(key));
@@ -176,7 +176,7 @@
 		return true;
 	}
 
-	/** Says that a reader has had the whole answer. */
+	/** Records that a reader has received the complete answer. */
 	markDelivered(key: AttemptKey): void {
 		const entry = this.#entries.get(nameOf(key));
 		if (entry) {
@@ -184,21 +184,21 @@
 		}
 	}
 
-	/** Takes a reader away, for instance when its connection closed. False when it did not read any more. */
+	/** Removes a reader, for instance when its connection closed. False when it was no longer reading. */
 	removeReader(key: AttemptKey, reader: LedgerReader): boolean {
 		const readers = this.#entries.get(nameOf(key))?.readers;
 		return readers?.get(reader.name) === reader && readers.delete(reader.name);
 	}
 
-	/** True while somebody reads the attempt's answer. */
+	/** True while at least one reader reads the attempt's answer. */
 	hasReaders(key: AttemptKey): boolean {
 		return (this.#entries.get(nameOf(key))?.readers?.size ?? 0) > 0;
 	}
 
 	/**
-	Revokes an attempt that has not begun, or says how far it has come.
+	Revokes an attempt that has not started, or returns its state.
 
-	An attempt that never arrived is recorded as revoked before the answer is given: a copy still under way is then refused, so that the caller may be told "not run" and another agent may be asked. An attempt older than the ledger's memory may have been here and been forgotten, so nothing is said of it.
+	An attempt that never arrived is recorded as revoked before the answer is returned: a copy that is still in transit is then refused, so that the caller can be told "not run" and another agent can be tried. An attempt older than the ledger's retention may have been run and removed, so its state is `unknown`.
 
 	@param deadlineInMs - Milliseconds until the attempt's deadline.
 	*/
@@ -216,7 +216,7 @@
 		return {state: 'revoked', incarnation: this.#incarnation};
 	}
 
-	/** Drops what need not be remembered any more. To be called now and then. */
+	/** Drops expired chunks and entries. To be called periodically. */
 	sweep(): void {
 		const now = this.#clock.now();
 		this.#entries.forEach((entry, name) => {
@@ -231,7 +231,7 @@
 	}
 
 	#add(attempt: IssuedAttempt, state: Entry['state'], deadlineInMs: number) {
-		// Counted from now, while `issuedAt` lies in the past: when this is forgotten, the attempt is beyond the memory.
+		// Counted from now, while `issuedAt` lies in the past: when the entry expires, the attempt is older than the retention.
 		const until = this.#clock.now() + Math.max(deadlineInMs + this.#limits.retainMs, ledgerRetentionMs);
 		this.#entries.set(nameOf(attempt), {
 			state, chunks: [], count: 0, bytes: 0, isDelivered: false, readableUntil: until, until,
@@ -248,7 +248,7 @@
 		entry.bytes = 0;
 	}
 
-	// The state of an ended attempt is kept, only its chunks go: an attempt that was run must never be taken for one that was not.
+	// Only the chunks of an ended attempt are dropped, its state is retained: an attempt that was run must never be taken for one that was not.
 	#trim() {
 		[...this.#entries.values()]
 			.filter(entry => this.#endedBytes > this.#limits.retainBytes && entry.state === 'done' && entry.bytes > 0)
--- a/src/common/resource-check.ts
+++ b/src/common/resource-check.ts
@@ -1,5 +1,5 @@
 /**
-Checks the objects that operators and their tools write, where they come in from the object API. The object API takes any value, and citronctl's own check does not bind other writers. Only what this system reads is checked, so that a newer version's additional fields do no harm.
+Validates the objects that operators and their tools write, when they are read from the object API. The object API accepts any value, and citronctl's own check does not bind other writers. Only the fields that this system reads are checked, so that a newer version's additional fields do no harm.
 */
 import {
 	isNonNegativeInteger, isBoolean, isObject, isPositiveNumber, isNonEmptyString, isTimestamp, listOf, oneOf, optional, invalidField, type FieldValidators,
@@ -22,9 +22,9 @@
 };
 
 /**
-Checks one object's value.
+Validates one object's value.
 
-@returns What is wrong with it; undefined when it is well formed, or of a kind that only the system itself writes.
+@returns A description of the fault; undefined when the value is well formed, or of a kind that only the system itself writes.
 */
 export const resourceFault = (kind: ObjectKind, name: string, value: unknown): string | undefined => {
 	const tests = specTests[kind];
--- a/src/common/retry-budget.ts
+++ b/src/common/retry-budget.ts
@@ -1,12 +1,12 @@
 /**
-Bounds retries to a share of the requests that succeed, so that retries can not multiply an overload: when everything fails, they run dry.
+Bounds retries to a share of the requests that succeed, so that retries can not multiply an overload: when all requests fail, the budget runs out.
 */
 
-/** How much may be retried. */
+/** Limits of the budget. */
 export type RetryBudgetLimits = {
 	/** Retries earned by each success, for instance 0.1. */
 	readonly perSuccess: number;
-	/** Retries that may be saved up; enough for the streams of one lost replica. */
+	/** Maximum number of retries saved up; enough for the streams of one lost replica. */
 	readonly max: number;
 };
 
@@ -24,7 +24,7 @@
 		this.#balance = Math.min(this.#limits.max, this.#balance + this.#limits.perSuccess);
 	}
 
-	/** Takes one retry; false when none is left. */
+	/** Spends one retry; false when none is left. */
 	spend(): boolean {
 		if (this.#balance < 1) {
 			return false;
@@ -36,7 +36,7 @@
 }
 
 /**
-Full jitter: a delay drawn evenly from nothing to an exponentially growing bound, which spreads retries that began together.
+Full jitter: a delay drawn evenly between zero and an exponentially growing bound, which spreads retries that started together.
 
 @param attempt - 0 for the first retry.
 @param draw - A number in [0, 1).
--- a/src/common/route-policy.ts
+++ b/src/common/route-policy.ts
@@ -1,32 +1,32 @@
 /**
-Chooses the replica for a request: the one with the least work before its answer, counted in tokens. Cached prompt blocks are a term of that cost and not a goal of their own: a replica that holds the prompt but is busy loses to an idle one as soon as its queue costs more than the prompt. Requests of this entry count at once, the replica's reports as they come.
+Chooses the replica for a request: the one with the least work ahead of its answer, counted in tokens. Cached prompt blocks are a term of that cost and not a goal of their own: a busy replica that holds the prompt loses to an idle one as soon as its queue costs more than the prompt. Requests of this entry count at once, the replicas' reports as they arrive.
 */
 import type {VmName} from './ids.js';
 import type {ReplicaView} from './replica-table.js';
 import type {RandomSource} from './services.js';
 
-/** What the terms of the score weigh, in tokens. */
+/** Weights of the terms of the score, in tokens. */
 export type RouteWeights = {
-	/** A token of the prompt that need not be computed. More than 1, since a prompt that is computed holds up every other stream of the replica too. */
+	/** A token of the prompt that need not be computed. More than 1, since computing a prompt also delays every other stream of the replica. */
 	readonly perCachedToken: number;
-	/** A batch item in the engine: it lengthens every step, and online work that comes pushes it out. */
+	/** A batch item in the engine: it lengthens every step, and arriving online work preempts it. */
 	readonly perBatchItem: number;
-	/** A request in a replica whose places are nearly all taken: the next may have to wait for one to end. */
+	/** A request at a replica whose slots are nearly all taken: the next one may have to wait for one to end. */
 	readonly perCrowdedRequest: number;
 	/** A replica in another failure domain. */
 	readonly otherDomain: number;
 };
 
-/** What a choice is made from. */
+/** The input of a choice. */
 export type RouteCriteria = {
 	readonly replicas: readonly ReplicaView[];
-	/** Replicas that this request was at already; used again only when there is no other. */
+	/** Replicas that this request was already sent to; used again only when there is no other. */
 	readonly tried: ReadonlySet<VmName>;
 	/** Tokens of the prompt and of the expected answer. */
 	readonly costTokens: number;
 	/** Tokens of the prompt that a replica is known to hold; none by default. */
 	readonly cachedTokens?: (vm: VmName) => number;
-	/** This entry's failure domain; without it all count alike. */
+	/** This entry's failure domain; without it all domains count equally. */
 	readonly failureDomain?: string;
 	readonly weights?: Partial<RouteWeights>;
 };
@@ -41,7 +41,7 @@
 	readonly runnersUp: readonly ScoredReplica[];
 };
 
-/** The weights that were measured best, see docs/DESIGN.md. */
+/** Default weights, see docs/DESIGN.md. */
 export const defaultWeights: RouteWeights = {
 	perCachedToken: 2, perBatchItem: 30, perCrowdedRequest: 1000, otherDomain: 0,
 };
@@ -49,7 +49,7 @@
 const runnersUpLogged = 2;
 const uncrowdedShare = 0.75;
 
-// Requests beyond the share of the backend server's places that late views may fill by mistake.
+// Requests beyond the share of the backend server's slots up to which lagging views may fill it by mistake.
 const crowdingOf = ({load}: ReplicaView) => load ? Math.max(0, load.running + load.queued - (load.maxRunning * uncrowdedShare)) : 0;
 
 const scoreOf = (replica: ReplicaView, question: RouteCriteria, weights: RouteWeights) => {
--- a/src/common/route-record.ts
+++ b/src/common/route-record.ts
@@ -1,7 +1,7 @@
 /**
-A routing decision as plain data: enough to make it again, and to check that no replica was chosen that must not be.
+A routing decision as plain data: sufficient to replay it, and to check that no replica was chosen that must not be.
 
-The log line of a decision carries only a digest of its inputs, since the inputs themselves are a few kilobytes. It ties the line to its record in a trace, and tells whether two decisions were made from the same view.
+The log line of a decision carries only a digest of its inputs, since the inputs themselves are a few kilobytes. The digest links the line to its record in a trace, and shows whether two decisions were made from the same view.
 */
 import type {RequestId, VmName} from './ids.js';
 import type {LoadReport} from './protocol.js';
@@ -9,7 +9,7 @@
 import type {RouteChoice, RouteCriteria} from './route-policy.js';
 import {h64ToString} from './xxhash.js';
 
-/** What a routing policy was asked, without its functions. */
+/** The input of a routing policy, without its functions. */
 export type RecordedCriteria = Omit<RouteCriteria, 'replicas' | 'tried' | 'cachedTokens'> & {
 	readonly tried: readonly VmName[];
 	/** Cached prompt tokens, by VM; VMs without any are left out. */
@@ -19,13 +19,13 @@
 /** A replica with its score, by name. */
 export type RecordedScore = {readonly vm: VmName; readonly score: number};
 
-/** Where a decision was made: which replicas the entry knew, and when. */
+/** The view from which a decision was made: the entry's replicas, and the time. */
 export type RouteView = {
 	readonly target: string;
 	/** The clock's `now`. */
 	readonly now: number;
 	readonly silentMs: number;
-	/** All replicas that the entry knew, also those that get no work. */
+	/** All replicas of the entry, also those that get no work. */
 	readonly replicas: readonly ReplicaView[];
 };
 
@@ -37,20 +37,20 @@
 	readonly digest: string;
 	readonly view: RouteView;
 	readonly question: RecordedCriteria;
-	/** What the policy drew by chance, in order. */
+	/** Random numbers that the policy drew, in order. */
 	readonly draws: readonly number[];
 	/** Left out when there was no replica. */
 	readonly choice?: RecordedScore & {readonly runnersUp: readonly RecordedScore[]};
 };
 
-/** A question as plain data. */
+/** Converts criteria to plain data. */
 export const recordedCriteria = ({replicas, tried, cachedTokens, ...plain}: RouteCriteria): RecordedCriteria => ({
 	...plain,
 	tried: [...tried],
 	cachedTokens: Object.fromEntries(replicas.map(({vm}) => [vm, cachedTokens?.(vm) ?? 0] as const).filter(([, tokens]) => tokens > 0)),
 });
 
-/** The question as it was asked, from its record. */
+/** Restores the criteria of a recorded decision. */
 export const criteriaFromRecord = ({view, question}: Pick<RouteRecord, 'view' | 'question'>): RouteCriteria => ({
 	...question,
 	replicas: view.replicas.filter(replica => isRoutable(replica, view)),
@@ -58,14 +58,14 @@
 	cachedTokens: vm => question.cachedTokens[vm] ?? 0,
 });
 
-/** A choice by the names of its replicas. */
+/** Converts a choice to plain data, by the names of its replicas. */
 export const recordedChoice = ({chosen, score, runnersUp}: RouteChoice): NonNullable<RouteRecord['choice']> => ({
 	vm: chosen.vm,
 	score,
 	runnersUp: runnersUp.map(({replica, score}) => ({vm: replica.vm, score})),
 });
 
-// A report is hashed once and not again for each request until the next one comes: it is never changed, only replaced.
+// The digest of a report is cached for all requests until the next report: a report is never changed, only replaced.
 const loadDigests = new WeakMap<LoadReport, string>();
 
 const loadDigest = (load: LoadReport): string => {
@@ -76,7 +76,7 @@
 
 const replicaText = ({load, ...row}: ReplicaView): string => `${Object.values(row).join(' ')} ${load ? loadDigest(load) : ''}`;
 
-/** A hash, 16 hexadecimal digits, of all that a choice was made from. */
+/** Returns a hash of all inputs of a choice, as 16 hexadecimal digits. */
 export const routeDigest = (question: RouteCriteria, draws: readonly number[]): string => h64ToString([
 	JSON.stringify(recordedCriteria(question)),
 	draws.join(' '),
--- a/src/common/running-work.ts
+++ b/src/common/running-work.ts
@@ -1,5 +1,5 @@
 /**
-What runs in a backend server just now, with the tokens that it has got and has still to get. It decides nothing.
+Tracks the work that runs in a backend server, with the tokens that were generated and those still to come. It makes no decisions.
 */
 import {ticketPromptTokens, type Ticket} from './admission-types.js';
 import type {WorkClass} from './protocol.js';
@@ -10,29 +10,29 @@
 	readonly startedAt: number;
 	/** Tokens of the answer so far. */
 	readonly tokens: number;
-	/** When the last of them came; the start before the first. */
+	/** Time of the last of them; the start before the first. */
 	readonly lastTokenAt: number;
 };
 
 const tokensLeft = ({ticket, tokens}: RunningItem): number => tokens === 0 ? ticket.costTokens : Math.max(0, ticket.costTokens - (ticket.promptTokens ?? 0) - tokens);
 
-/** See the module's head. */
+/** Running work by class, with its token totals. */
 export class RunningWork {
 	readonly #byClass: Readonly<Record<WorkClass, Map<string, RunningItem>>> = {online: new Map(), batch: new Map()};
 	#onlineTokensLeft = 0;
 	#batchPrefillTokens = 0;
 
-	/** Tokens that online work has still to get. */
+	/** Tokens still to be computed for online work. */
 	get onlineTokensLeft(): number {
 		return this.#onlineTokensLeft;
 	}
 
-	/** Tokens of batch prompts whose first token has not come. */
+	/** Prompt tokens of batch items that have no first token yet. */
 	get batchPrefillTokens(): number {
 		return this.#batchPrefillTokens;
 	}
 
-	/** How much work of a class runs. */
+	/** Number of items of a class that run. */
 	count(workClass: WorkClass): number {
 		return this.#byClass[workClass].size;
 	}
@@ -52,7 +52,7 @@
 		});
 	}
 
-	/** Takes tokens of the answer into account. */
+	/** Records tokens of the answer. */
 	progressed(key: string, tokens: number, now: number): void {
 		const before = this.get(key);
 		if (before) {
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** @returns What has left the backend server; nothing when it did not run. */
+	/** @returns The item that has left the backend server; undefined when it was not running. */
 	end(key: string): RunningItem | undefined {
 		const running = this.get(key);
 		if (running) {
--- a/src/common/service-rate.ts
+++ b/src/common/service-rate.ts
@@ -1,8 +1,8 @@
 /**
-Learns how long the backend server takes for a token of estimated cost, from the work it has finished, so that estimates of the wait follow the backend server as it is and not as its settings say. Recent work counts more: the rate follows a backend server that has become slow within a few dozen requests.
+Measures how long the backend server takes for a token of estimated cost, from finished work, so that estimates of the wait follow the actual speed of the backend server instead of its settings. Recent work counts more: the rate adapts within a few dozen requests to a backend server that has become slow.
 */
 
-/** What is assumed before anything was measured. */
+/** The rate that is assumed before any work has finished. */
 export type RatePrior = {
 	/** Requests the backend server runs at once. */
 	readonly maxRunning: number;
@@ -13,7 +13,7 @@
 const msPerSecond = 1000;
 // The prior counts as much as this many tokens of measured work.
 const priorTokens = 100;
-// What each finished request leaves of the weight of those before it.
+// Factor by which each finished request reduces the weight of those before it.
 const retained = 0.95;
 
 /** A weighted mean of milliseconds a token. */
@@ -33,8 +33,8 @@
 	/**
 	Counts finished work.
 
-	@param costTokens - What it was estimated to cost; the estimates' error is part of the rate.
-	@param ms - How long it ran.
+	@param costTokens - Its estimated cost; the estimates' error is part of the rate.
+	@param ms - Milliseconds that it ran.
 	*/
 	finished(costTokens: number, ms: number): void {
 		this.#ms = (this.#ms * retained) + ms;
--- a/src/common/services.ts
+++ b/src/common/services.ts
@@ -1,5 +1,5 @@
 /**
-The interfaces behind which everything outside the core stands: the platform, the backend servers, time, chance and the log. The core receives them by injection, so that a test swaps in a fake and another platform is one adapter.
+Interfaces to everything outside the core: the platform, the backend servers, time, randomness and the log. They are injected into the core, so that tests use fakes and another platform needs only one adapter.
 */
 import type {Either} from 'purify-ts/Either';
 import type {
@@ -7,12 +7,12 @@
 } from './types.js';
 import type {Revision} from './ids.js';
 
-/** Releases what an object holds. Calling it twice is harmless. */
+/** An object that holds resources. Disposing of it twice is harmless. */
 export type Disposable = {
 	dispose(): void;
 };
 
-/** Time. Deadlines use `now`, which no clock adjustment moves; `wall` is for what people and other nodes read. */
+/** A clock. Deadlines use `now`, which clock adjustments do not change; `wall` is for times that people and other nodes read. */
 export type Clock = {
 	/** Milliseconds on a monotonic clock with an arbitrary start. */
 	now(): number;
@@ -22,7 +22,7 @@
 	sleep(ms: number): Promise<void>;
 };
 
-/** Chance, injected so that a decision can be replayed. */
+/** A source of random numbers, injected so that a decision can be replayed. */
 export type RandomSource = {
 	/** A number in [0, 1). */
 	next(): number;
@@ -55,11 +55,11 @@
 	/** Fails as `conflict` when `version` is given and is not the object's. */
 	remove(kind: ObjectKind, name: string, version?: Revision): Promise<Either<ApiError, Revision>>;
 	list<T>(kind: ObjectKind, query?: ListQuery): Promise<Either<ApiError, ObjectPage<T>>>;
-	/** Waits up to `waitMs` for changes after `since`. Fails as `expired` when `since` is too old: list, then watch on. */
+	/** Waits up to `waitMs` for changes after `since`. Fails as `expired` when `since` is too old: the caller lists, then watches from there. */
 	watch(kinds: readonly ObjectKind[], since: Revision, waitMs: number, options?: ReadOptions): Promise<Either<ApiError, WatchBatch>>;
 };
 
-/** The platform's list of VMs. It lags behind the truth. */
+/** The platform's list of VMs. It lags behind the actual state. */
 export type VmList = {
 	read(): Promise<Either<ApiError, readonly VmEntry[]>>;
 };
--- a/src/common/subset-policy.ts
+++ b/src/common/subset-policy.ts
@@ -1,33 +1,33 @@
 /**
-Which replicas an entry keeps in touch with. Hundreds of entries before thousands of replicas can not all talk; each entry takes a few replicas of each model and service, the same ones as long as they are there. They are ranked by rendezvous hash, so that the entries spread evenly over the replicas without talking and a VM that comes or goes moves only its own places. Replicas of the entry's failure domain go first, with some from elsewhere: the domain's own may all be lost at once.
+Chooses the replicas that an entry polls and sends work to. Hundreds of entries and thousands of replicas can not all communicate; each entry takes a few replicas of each model and service, the same ones as long as they exist. They are ranked by rendezvous hash, so that the entries spread evenly over the replicas without coordination and a VM that is added or removed changes only its own assignments. Replicas of the entry's failure domain go first, with some from other domains: all replicas of one domain may be lost at once.
 */
 import type {FailureDomain, VmName} from './ids.js';
 import type {ReplicaView} from './replica-table.js';
 import {rankMembers} from './rendezvous.js';
 
-/** What a subset is chosen from. */
+/** The input of a choice. */
 export type SubsetCriteria = {
 	/** The entry's VM. */
 	readonly self: string;
 	readonly failureDomain: FailureDomain;
 	readonly replicas: readonly ReplicaView[];
-	/** What a VM's backend server is declared to serve, as `model:<name>` or `service:<name>`; undefined when it is not declared. */
+	/** The targets that a VM's backend server is declared to serve, as `model:<name>` or `service:<name>`; undefined when it is not declared. */
 	readonly targetsOf: (vm: VmName) => readonly string[] | undefined;
 	/** Replicas of each target. */
 	readonly perTarget: number;
 };
 
-// The rest comes from other failure domains.
+// Share of the replicas in the entry's own failure domain; the rest comes from other domains.
 const nearShare = 0.75;
-// A replica that failed this often in a row is replaced, and asked on so that it is taken back when it answers.
+// A replica is replaced after this many consecutive failures; it is still polled, so that it is used again once it answers.
 const failuresBeforeReplaced = 4;
 
 const undeclaredFactor = 4;
 
-/** What of a replica matters here. */
+/** The properties of a replica that the choice depends on. */
 export type SubsetCandidate = Pick<ReplicaView, 'vm' | 'failureDomain' | 'failures'>;
 
-/** True when another replica takes the place of this one, which fails again and again. */
+/** True when a replica fails repeatedly and another one is used instead. */
 export const isReplaced = ({failures}: SubsetCandidate): boolean => failures >= failuresBeforeReplaced;
 
 const chooseFor = (target: string, candidates: readonly SubsetCandidate[], {self, failureDomain, perTarget}: SubsetCriteria): VmName[] => {
@@ -41,7 +41,7 @@
 /**
 Chooses an entry's replicas.
 
-@returns VMs to keep in touch with: `perTarget` of each target, and four times as many of those whose backend server is not declared; those that fail are named besides the ones that replace them.
+@returns The VMs to poll: `perTarget` of each target, and four times as many of those whose backend server is not declared; failing replicas are included in addition to those that replace them.
 */
 export const chooseSubset = (question: SubsetCriteria): ReadonlySet<VmName> => {
 	const undeclared: ReplicaView[] = [];
@@ -58,7 +58,7 @@
 			byTarget.set(target, candidates);
 		});
 	});
-	// Without a configuration yet, everything is undeclared: then too no entry asks a whole fleet.
+	// Before the first configuration, all replicas are undeclared; even then an entry must not poll the whole fleet.
 	const chosen = new Set(chooseFor('undeclared', undeclared, {...question, perTarget: question.perTarget * undeclaredFactor}));
 	byTarget.forEach((candidates, target) => {
 		const healthy = candidates.filter(candidate => !isReplaced(candidate));
--- a/src/common/testing/fake-object-api.ts
+++ b/src/common/testing/fake-object-api.ts
@@ -1,5 +1,5 @@
 /**
-An object API in memory, with the faults of the real one at the flick of a switch: an outage, and an answer that is lost after the change took effect.
+An in-memory object API that can simulate faults of the real one: an outage, and an answer that is lost after the change took effect.
 */
 import {EventEmitter} from 'node:events';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -14,7 +14,7 @@
 const defaultPageSize = 500;
 const valueLimitBytes = 1_000_000;
 
-/** Values are copied on the way in and out, as they would be on a network. */
+/** Values are copied when stored and returned, as they would be on a network. */
 const copied = <T>(value: T): T => structuredClone(value);
 
 /** An {@link ObjectApi} for tests. Versions start at 1. */
@@ -22,7 +22,7 @@
 	/** While true, every call fails as `unavailable` and changes nothing. */
 	down = false;
 
-	/** Runs before each call takes effect, so that a test can slip in another writer's change. */
+	/** Runs before each call takes effect, so that a test can insert another writer's change. */
 	beforeCall: ((call: string, kind: ObjectKind, name: string) => void | Promise<void>) | undefined;
 
 	/** Calls so far, by method. */
@@ -37,12 +37,12 @@
 	#version = 0;
 	#oldestWatchable = 0;
 
-	/** The next `count` changes take effect, but their writers learn only `unknown`. */
+	/** The next `count` changes take effect, but their writers receive only `unknown`. */
 	loseNextAnswer(count = 1): void {
 		this.#answersToLose += count;
 	}
 
-	/** Forgets the history, so that a watch from an older version fails as `expired`. */
+	/** Discards the history, so that a watch from an older version fails as `expired`. */
 	compact(): void {
 		this.#oldestWatchable = this.#version;
 		this.#history.length = 0;
--- a/src/common/testing/interrupted-answers.ts
+++ b/src/common/testing/interrupted-answers.ts
@@ -1,14 +1,14 @@
 /**
-Answers whose first run ends before they are whole, in the kinds of pieces that engines send.
+Answers whose first run ends before they are complete, in the kinds of chunks that engines send.
 */
 import type {AnswerChunk} from '../answer-assembler.js';
 import type {JsonObject, ResumePoint} from '../protocol.js';
 
 /** An answer in two parts. */
 export type InterruptedAnswer = {
-	/** What the first run brings before it ends. */
+	/** The chunks of the first run, before it ends. */
 	readonly first: readonly AnswerChunk[];
-	/** What brings the answer to its end from there. */
+	/** The chunks that complete the answer from there. */
 	readonly rest: readonly AnswerChunk[];
 	/** Fields of the request. */
 	readonly request?: JsonObject;
@@ -26,12 +26,12 @@
 const weighed = (...words: string[]): AnswerChunk[] => words.map(content => ({choices: [{index: 0, delta: {content}, logprobs: {content: [{token: content}]}}]}));
 const weighedTexts = (...words: string[]): AnswerChunk[] => words.map(text => ({object: 'text_completion', choices: [{index: 0, text, logprobs: {tokens: [text]}}]}));
 
-/** By what the first run brings. */
+/** Interrupted answers, by the content of the first run. */
 export const interruptedAnswers: Readonly<Record<string, InterruptedAnswer>> = {
 	nothing: {first: [], rest: [role, ...says('do ', 'BRAKE ', 'now'), stop]},
 	'a role': {first: [role], rest: [...says('do ', 'BRAKE ', 'now'), stop]},
 	'a text': {first: [role, ...says('do ', 'BRAKE ')], rest: [...says('now'), stop]},
-	// An engine that is given a text which has come to its end has something to add.
+	// An engine that resumes a text which is already complete generates more of it.
 	'all but the end': {first: [role, ...says('do ', 'BRAKE ', 'now'), stop], rest: [...says(', or not'), stop]},
 	'a reasoning': {first: [role, chunkOf({reasoning_content: 'R1 '})], rest: [chunkOf({reasoning_content: 'R2 '}), ...says('do ', 'BRAKE ', 'now'), stop]},
 	'a tool call': {
@@ -53,14 +53,14 @@
 	'a refusal': {first: [role, chunkOf({refusal: 'I can '})], rest: [chunkOf({refusal: 'not say'}), stop]},
 };
 
-/** What an engine sends that is given the request, with or without a place to go on from. */
+/** Returns the chunks that an engine sends for the request, with or without a resume point. */
 export const continuationOf = ({first, rest}: InterruptedAnswer, resume: ResumePoint | undefined): readonly AnswerChunk[] => resume ? [role, ...rest] : [...first, ...rest];
 
 const saidInMessage = ({content, refusal, reasoning_content: reasoning, tool_calls: tools}: Message): string => [
 	reasoning, content, refusal, ...(tools ?? []).map(tool => `${tool.function.name}${tool.function.arguments}`),
 ].filter(Boolean).join('');
 
-/** All that choices say, of a whole answer or of the chunks of a stream, in one text each; with the number of their log probabilities, where they have some. */
+/** Returns the generated text of each choice, of a complete answer or of the chunks of a stream; followed by the number of its log probabilities, where it has some. */
 export const generatedTexts = (choices: readonly Choice[]): string[] => choices.map(({message, delta, text, logprobs}) => {
 	const {length} = logprobs?.content ?? logprobs?.tokens ?? [];
 	return `${saidInMessage(message ?? delta ?? {content: text})}${length > 0 ? `(${length})` : ''}`;
--- a/src/common/testing/manual-clock.ts
+++ b/src/common/testing/manual-clock.ts
@@ -3,7 +3,7 @@
 */
 import type {Clock} from '../services.js';
 
-/** Time that passes only by `advance`. */
+/** A clock that moves only by `advance`. */
 export class ManualClock implements Clock {
 	readonly #sleepers: Array<{readonly until: number; readonly wake: () => void}> = [];
 	#now = 0;
@@ -22,7 +22,7 @@
 		});
 	}
 
-	/** Lets `ms` milliseconds pass and wakes those whose time has come. */
+	/** Advances the clock by `ms` milliseconds and resolves the sleeps that are due. */
 	advance(ms: number): void {
 		this.#now += ms;
 		const due = this.#sleepers.filter(({until}) => until <= this.#now);
--- a/src/common/testing/test-world.hooks.ts
+++ b/src/common/testing/test-world.hooks.ts
@@ -1,5 +1,5 @@
 /**
-Gives each scenario its own world and releases what it opened.
+Gives each scenario its own world and releases its resources at the end.
 */
 import {After, setDefaultTimeout, setWorldConstructor} from '@cucumber/cucumber';
 import {TestWorld} from './test-world.js';
--- a/src/common/testing/test-world.ts
+++ b/src/common/testing/test-world.ts
@@ -1,9 +1,9 @@
 /**
-What every scenario starts with: a registry of the things it opened, so that servers, timers and processes are released even when a step fails.
+The world of every scenario: a registry of the resources it opened, so that servers, timers and processes are released even when a step fails.
 */
 import {World} from '@cucumber/cucumber';
 
-/** Releases something; may be asynchronous. */
+/** Releases a resource; may be asynchronous. */
 export type Release = () => void | Promise<void>;
 
 /** One per scenario. Steps keep their state in a subclass or in a `WeakMap` keyed by the world. */
@@ -21,7 +21,7 @@
 		return owner;
 	}
 
-	/** Releases everything, the last registered first. A later failure does not keep earlier ones from being released. */
+	/** Releases everything, the last registered first. A failure does not prevent the other releases. */
 	async release(): Promise<void> {
 		const errors: unknown[] = [];
 		for (const release of this.#releases.splice(0).toReversed()) {
--- a/src/common/testing/until.ts
+++ b/src/common/testing/until.ts
@@ -1,11 +1,11 @@
 /**
-Waits for a condition, so that a step goes on as soon as it holds and never asserts on elapsed time.
+Waits for a condition, so that a step continues as soon as it holds and never asserts on elapsed time.
 */
 const pollMs = 5;
-/** Below the longest time a step may take, so that the message says what was waited for. */
+/** Below the timeout of a step, so that the error names the condition that was waited for. */
 const giveUpMs = 15_000;
 
-/** Resolves once the condition holds; rejects with the text when it does not for long. */
+/** Resolves once the condition holds; rejects with an error that contains `text` when it does not hold within 15 s. */
 export const until = async (condition: () => boolean, text: string): Promise<void> => {
 	const deadline = performance.now() + giveUpMs;
 	while (!condition()) {
--- a/src/common/types.ts
+++ b/src/common/types.ts
@@ -1,9 +1,9 @@
 /**
-Shapes that several folders of the core and its adapters share.
+Types shared by the core and its adapters.
 */
 import type {FailureDomain, Revision, VmName} from './ids.js';
 
-/** Kinds of object that citronyard keeps in the object API. The first six are resources that operators write; the last six belong to the gateway. */
+/** Kinds of object that citronyard stores in the object API. The first six are resources that operators write; the last seven belong to the gateway. */
 export const objectKinds = ['ServedModel', 'ModelVersion', 'OnlineService', 'BatchJob', 'ClientAccount', 'BackendServer', 'Lease', 'File', 'InputChunk', 'Result', 'ResultPart', 'Claim', 'Assignment', 'JobStatus', 'ResourceStatus', 'GatewayConfig', 'Registration', 'Member', 'BatchRecord', 'BatchContent', 'Retirement', 'Quarantine'] as const;
 
 /** One of {@link objectKinds}. */
@@ -18,7 +18,7 @@
 	readonly value: T;
 };
 
-/** Why a call of the platform did not succeed. `unknown` says that a change may have taken effect. */
+/** Why a call of the platform failed. `unknown` means that a change may have taken effect. */
 export type ApiError
 	= | {readonly kind: 'conflict'; readonly current?: StoredObject}
 		| {readonly kind: 'notFound'}
@@ -42,16 +42,16 @@
 /** A page of a list, sorted by name. */
 export type ObjectPage<T = unknown> = {
 	readonly items: ReadonlyArray<StoredObject<T>>;
-	/** The object API's version when the list was read: the place to watch from. */
+	/** The object API's version when the list was read: the version to watch from. */
 	readonly version: Revision;
 	readonly more: boolean;
 };
 
-/** How a read may be answered. */
+/** Options of a read. */
 export type ReadOptions = {
-	/** True lets a copy answer that may lag behind by seconds, which costs the object API less. */
+	/** True allows an answer from a copy that may lag by seconds, which costs the object API less. */
 	readonly mayLag?: boolean;
-	/** True asks on a connection of its own, since kept ones may have gone silent. */
+	/** True uses a new connection, since kept-alive ones may have become unresponsive. */
 	readonly isFresh?: boolean;
 };
 
@@ -70,7 +70,7 @@
 	readonly events: readonly WatchEvent[];
 };
 
-/** What a VM carries. */
+/** The role of a VM. */
 export type VmRole = 'entry' | 'backend';
 
 /** A VM as the platform's VM list shows it. */
@@ -83,7 +83,7 @@
 	readonly state: 'live' | 'leaving';
 };
 
-/** How urgent an event is for a person. */
+/** The severity of an event. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
 /** A numbered log event. Numbers are never used twice, see docs/LOG-EVENTS.md. */
@@ -93,5 +93,5 @@
 	readonly text: string;
 };
 
-/** What an event tells besides its text. Values are JSON. */
+/** The fields of an event, besides its text. Values are JSON. */
 export type LogFields = Readonly<Record<string, unknown>>;
--- a/src/common/xxhash.ts
+++ b/src/common/xxhash.ts
@@ -1,5 +1,5 @@
 /**
-The xxHash functions, initialised once for the process: the module waits for its WebAssembly code, so that every caller can hash without waiting.
+The xxHash functions, initialised once for the process: the module awaits its WebAssembly code, so that callers can hash synchronously.
 */
 import xxhash from 'xxhash-wasm';
 
