--- a/src/common/admission.steps.ts
+++ b/src/common/admission.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for admission: the class alone, on a clock set by hand.
+Steps for the admission class alone, on a manual clock.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -32,7 +32,7 @@
 
 const hasStarted = (state: State, key: string) => state.steps.some(step => step.kind === 'start' && step.ticket.key === key);
 
-/** Lets time pass in which every running item has its first token, so that the next may start. */
+/** Advances the clock while every running item gets its first token, so that the next may start. */
 const settle = (state: State) => {
 	Array.from({length: 40}).forEach(() => {
 		state.steps.filter(step => step.kind === 'start').forEach(({ticket}) => {
@@ -49,7 +49,7 @@
 	});
 };
 
-Given('an engine that runs {int} requests at once and an agent that lets {int} wait', function (this: TestWorld, maxRunning: number, maxQueued: number) {
+Given('an engine that runs {int} requests at once and an agent that queues up to {int}', function (this: TestWorld, maxRunning: number, maxQueued: number) {
 	const clock = new ManualClock();
 	const admission = new Admission(clock, {
 		maxRunning, maxQueued, tokensPerSecond: 100_000, batchWeight: 0.3,
@@ -102,7 +102,7 @@
 	});
 });
 
-Given('an online request of account {string} has ended a moment ago', function (this: TestWorld, account: string) {
+Given('an online request of account {string} has just ended', function (this: TestWorld, account: string) {
 	const state = stateOf(this);
 	offerOnline(state, 1, account);
 	state.admission.finish(state.offered!.key);
@@ -145,13 +145,13 @@
 Then('the online request starts at the latest when one batch item has left', function (this: TestWorld) {
 	const state = stateOf(this);
 	const preempted = state.steps.find(step => step.kind === 'preempt');
-	assert.ok(preempted, 'no batch item was taken back');
+	assert.ok(preempted, 'no batch item was preempted');
 	state.admission.preempted(preempted.ticket.key);
 	state.steps.push(...state.admission.steps());
 	assert.ok(hasStarted(state, state.offered!.key));
 });
 
-Then('the batch items that were taken back wait again', function (this: TestWorld) {
+Then('the preempted batch items are queued again', function (this: TestWorld) {
 	const {admission} = stateOf(this);
 	assert.equal(admission.batchRunning + admission.batchQueued, 20);
 });
@@ -197,7 +197,7 @@
 	assert.equal(stateOf(this).refusal?.ticket.account, 'flood');
 });
 
-Then('it is refused as {string} with a time to come back of at least {int} ms', function (this: TestWorld, reason: string, ms: number) {
+Then('it is refused as {string} with a retry time of at least {int} ms', function (this: TestWorld, reason: string, ms: number) {
 	const {refusal, offered} = stateOf(this);
 	assert.ok(refusal?.kind === 'refuse');
 	assert.equal(refusal.ticket.key, offered!.key);
@@ -208,7 +208,7 @@
 const longItemOf = (state: State) => state.steps.find(step => step.kind === 'start' && (step.ticket.promptTokens ?? 0) > costTokens)!.ticket;
 const startsOf = (state: State, {key}: Ticket) => state.steps.filter(step => step.kind === 'start' && step.ticket.key === key).length;
 
-/** Lets time pass in which the online request, if it still runs, gets its tokens. */
+/** Advances the clock while the online request, if it still runs, gets its tokens. */
 const passTime = (state: State, ms: number) => {
 	const slices = 20;
 	const tokensPerSlice = 64;
@@ -225,7 +225,7 @@
 	assert.equal(startsOf(state, longItemOf(state)), 1);
 });
 
-Then('the long batch item is taken back', function (this: TestWorld) {
+Then('the long batch item is preempted', function (this: TestWorld) {
 	const state = stateOf(this);
 	const {key} = longItemOf(state);
 	assert.ok(state.steps.some(step => step.kind === 'preempt' && step.ticket.key === key));
--- a/src/common/config-bootstrap.feature
+++ b/src/common/config-bootstrap.feature
@@ -1,7 +1,7 @@
 Feature: A restart does not revert the configuration
-  An entry with a snapshot restarts while its peers are cut off, or the object API was set back to a backup.
-  Two peers that agree on an older configuration would bring back what was changed since: an account that was removed is served again.
-  Nothing older than the snapshot is put in force; the entry waits for a source that has at least as much.
+  An entry with a snapshot restarts while its peers are disconnected, or after the object API was restored from a backup.
+  Two peers that agree on an older configuration would revert later changes: a removed account would be served again.
+  Nothing older than the snapshot is put in force; the entry waits for a source that is at least as new.
 
   Background:
     Given a snapshot at revision 100 with models "a@10 b@99"
@@ -16,7 +16,7 @@
     When the entry starts
     Then it has models "a c" at revision 110
 
-  Scenario: The object API was set back to a backup
+  Scenario: The object API was restored from a backup
     Given the object API is at revision 90 with models "a@10 removed@80" and there are no peers
     When the entry starts
     Then it waits
--- a/src/common/config-bootstrap.steps.ts
+++ b/src/common/config-bootstrap.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the first configuration of a node that keeps a snapshot.
+Steps for the initial configuration of a node that stores a snapshot.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -22,7 +22,7 @@
 const rounds = 3;
 const kind = 'ServedModel';
 
-/** A whole configuration of models written as `name@version`. */
+/** A complete configuration of models written as `name@version`. */
 const configAt = (revision: number, models: string): ConfigChanges => {
 	const events = models.split(' ').map((model): WatchEvent => {
 		const [name = '', version] = model.split('@');
--- a/src/common/config-table.steps.ts
+++ b/src/common/config-table.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the table of configuration.
+Steps for the configuration table.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -61,15 +61,15 @@
 	this.table.apply(changesOf(false, start + count, start + (2 * count), names.flatMap((name, index) => models(`${name}@${start + count + 1 + index}`, 'delete'))));
 });
 
-When('the whole table at revision {int} is {string}', function (this: TableWorld, revision: number, text: string) {
+When('the complete table at revision {int} is {string}', function (this: TableWorld, revision: number, text: string) {
 	this.table.apply(changesOf(true, 0, revision, models(text)));
 });
 
-When('the other table takes over what it lacks', function (this: TableWorld) {
+When('the other table applies the changes it lacks', function (this: TableWorld) {
 	this.other.apply(this.table.changesSince(this.other.revision));
 });
 
-Then('they are refused', function (this: TableWorld) {
+Then('the changes are rejected', function (this: TableWorld) {
 	assert.equal(this.taken, false);
 });
 
@@ -87,7 +87,7 @@
 	assert.equal(this.table.get(kind, name), undefined);
 });
 
-Then('a node at revision {int} that asks has model {string} alone afterwards', function (this: TableWorld, revision: number, name: string) {
+Then('a node at revision {int} that polls has only model {string} afterwards', function (this: TableWorld, revision: number, name: string) {
 	const node = tableWith(revision, `a@4 ${name}@8`);
 	node.apply(this.table.changesSince(node.revision));
 	assert.deepEqual(node.list(kind).map(object => object.name), [name]);
--- a/src/common/lease-client.feature
+++ b/src/common/lease-client.feature
@@ -1,20 +1,20 @@
-Feature: A lease whose object is deleted is taken anew
-  An operator clears the Lease objects away, or they are missing after a restore. Jobs of the shard must go on.
+Feature: A lease whose object is deleted is acquired again
+  An operator deletes the Lease objects, or they are missing after a restore. The jobs of the shard must continue.
   A holder whose renewals only failed would end without a successor; a successor that counted from 1 again would be refused by agents
-  that know higher fencing numbers. The holder stops, a lease's time passes, and the next one starts above all numbers given out.
+  that have seen higher fencing numbers. The holder stops, a lease's duration passes, and the next one starts above all numbers issued.
 
-  Scenario: The object is deleted under its holder
-    Given two entries tend a lease
+  Scenario: The object is deleted while the lease is held
+    Given two entries compete for a lease
     And the first holds it
-    When the lease's object is deleted and the first tends it
+    When the lease's object is deleted and the first tries to renew it
     Then neither holds it
-    When both tend it before a lease's time has passed
+    When both try to acquire it before a lease's duration has passed
     Then neither holds it
-    When both tend it after a lease's time has passed
+    When both try to acquire it after a lease's duration has passed
     Then one holds it, with a higher fencing number
 
-  Scenario: An entry that never saw the lease takes it after its deletion
-    Given two entries tend a lease
+  Scenario: An entry that never saw the lease acquires it after its deletion
+    Given two entries compete for a lease
     And the first holds it
-    When the lease's object is deleted and a new entry tends it
+    When the lease's object is deleted and a new entry tries to acquire it
     Then the new entry's fencing number is higher
--- a/src/common/lease-client.steps.ts
+++ b/src/common/lease-client.steps.ts
@@ -23,7 +23,7 @@
 	}
 };
 
-Given('two entries tend a lease', async function (this: LeaseWorld) {
+Given('two entries compete for a lease', async function (this: LeaseWorld) {
 	this.clock = new ManualClock();
 	this.api = new FakeObjectApi();
 	this.keepers = [keeperOf(this, 'entry-1'), keeperOf(this, 'entry-2')];
@@ -32,7 +32,7 @@
 
 Given('the first holds it', async function (this: LeaseWorld) {
 	const [first, second] = this.keepers as [LeaseClient, LeaseClient];
-	// Changing hands raises the fencing number.
+	// Each change of the holder raises the fencing number.
 	for (let handover = 0; handover < handovers; handover += 1) {
 		await first.release();
 		await second.acquireOrRenew(0);
@@ -44,25 +44,25 @@
 	this.fenceBefore = first.fence;
 });
 
-When('the lease\'s object is deleted and the first tends it', async function (this: LeaseWorld) {
+When('the lease\'s object is deleted and the first tries to renew it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
 	await this.keepers[0]!.acquireOrRenew(0);
 });
 
-When('the lease\'s object is deleted and a new entry tends it', async function (this: LeaseWorld) {
+When('the lease\'s object is deleted and a new entry tries to acquire it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
 	const late = keeperOf(this, 'entry-3');
 	await late.acquireOrRenew(0);
 	this.keepers = [late];
 });
 
-When('both tend it before a lease\'s time has passed', async function (this: LeaseWorld) {
+When('both try to acquire it before a lease\'s duration has passed', async function (this: LeaseWorld) {
 	await tendAll(this);
 	this.clock.advance(ttlMs - 1);
 	await tendAll(this);
 });
 
-When('both tend it after a lease\'s time has passed', async function (this: LeaseWorld) {
+When('both try to acquire it after a lease\'s duration has passed', async function (this: LeaseWorld) {
 	this.clock.advance(1);
 	await tendAll(this);
 });
--- a/src/common/log-events.steps.ts
+++ b/src/common/log-events.steps.ts
@@ -27,12 +27,12 @@
 	assert.ok(this.catalogued.length > 0);
 });
 
-Then('each event stands on the page with its number, level, name and text', function (this: EventsWorld) {
+Then('each event is listed on the page with its number, level, name and text', function (this: EventsWorld) {
 	const rows = new Set(rowsOnPage());
 	assert.deepEqual(this.catalogued.map(keyOf).filter(key => !rows.has(key)), []);
 });
 
-Then('each event on the page stands in a catalogue', function (this: EventsWorld) {
+Then('each event on the page is defined in a catalogue', function (this: EventsWorld) {
 	const known = new Set(this.catalogued.map(keyOf));
 	assert.deepEqual(rowsOnPage().filter(row => !known.has(row)), []);
 });
--- a/src/common/placement-policy.steps.ts
+++ b/src/common/placement-policy.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the placement: engines in memory that take two steps to load.
+Steps for the placement, with simulated engines that take two steps to load.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -115,18 +115,18 @@
 	assertReady(this, count);
 });
 
-Then('at least {int} of the {int} engines left were ready in each step since', function (this: PlacementWorld, count: number, left: number) {
+Then('at least {int} of the {int} remaining engines were ready in each step since', function (this: PlacementWorld, count: number, left: number) {
 	assert.equal(live(this).length, left);
-	// Those that were loading when the failure domain was lost go on.
+	// Engines that were loading when the failure domain was lost continue to load.
 	const settled = this.seen.slice(loadSteps + 1);
 	assert.ok(Math.min(...settled.map(({ready}) => ready)) >= count, JSON.stringify(this.seen));
 });
 
-Then('at most {int} loads were under way in each step', function (this: PlacementWorld, count: number) {
+Then('at most {int} loads were in progress in each step', function (this: PlacementWorld, count: number) {
 	assert.ok(Math.max(...this.seen.map(({loads}) => loads)) <= count, JSON.stringify(this.seen));
 });
 
-Then('all engines (that are left )have version {string}', function (this: PlacementWorld, version: string) {
+Then('all engines (that remain )have version {string}', function (this: PlacementWorld, version: string) {
 	assert.ok(live(this).every(({loaded}) => loaded[0]?.version === version), JSON.stringify(this.engines));
 });
 
--- a/src/common/prefix-index.steps.ts
+++ b/src/common/prefix-index.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the agent's mirror of the cache and the entries' index of it.
+Steps for the agent's copy of the engine's cache and the entries' index of it.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
--- a/src/common/replay.steps.ts
+++ b/src/common/replay.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps that make recorded decisions again.
+Steps that replay recorded decisions.
 */
 import assert from 'node:assert/strict';
 import {readFileSync} from 'node:fs';
@@ -17,7 +17,7 @@
 type Replayed = {readonly record: RouteRecord; readonly question: RouteCriteria; readonly choice: RouteChoice | undefined; readonly drawsLeft: number};
 type ReplayWorld = TestWorld & {routes: Replayed[]; leases: LeaseRecord[]; count: number};
 
-// JSON has no infinities: a replica that was never heard has no time.
+// JSON can not hold infinities: the time is null for a replica without a report.
 const revive = (key: string, value: unknown) => key === 'heardAt' && value === null ? Number.NEGATIVE_INFINITY : value;
 
 const readTrace = <T extends DecisionRecord>(kind: T['kind']): T[] => readFileSync(new URL(`testing/traces/${kind}.jsonl`, import.meta.url), 'utf8')
@@ -34,7 +34,7 @@
 	};
 };
 
-// Said here once more, so that a fault in the code's own rule shows.
+// Repeats the rule of the code under test, so that a fault in that rule is detected.
 const mustNotServe = (replica: ReplicaView, {target, now, silentMs}: RouteRecord['view']) => replica.leaving
 	|| replica.load?.draining !== false
 	|| !replica.load.serves.includes(target)
@@ -42,15 +42,15 @@
 
 const chosenOf = (world: ReplayWorld) => world.routes.flatMap(({record, question, choice}) => choice ? [{record, question, choice}] : []);
 
-// Leases that this decision takes from somebody else, or that were given back.
+// True when the decision takes the lease from another holder, or after a release.
 const changesHands = ({question, decision}: LeaseRecord) => decision.kind === 'update' && question.view.value?.holder !== question.self;
 
-When('the recorded routing decisions are made again', function (this: ReplayWorld) {
+When('the recorded routing decisions are replayed', function (this: ReplayWorld) {
 	this.routes = readTrace<RouteRecord>('route').map(record => replay(record));
 	this.count = this.routes.length;
 });
 
-When('the recorded lease decisions are made again', function (this: ReplayWorld) {
+When('the recorded lease decisions are replayed', function (this: ReplayWorld) {
 	this.leases = readTrace<LeaseRecord>('lease');
 	this.count = this.leases.length;
 });
@@ -72,7 +72,7 @@
 	});
 });
 
-Then('some were made while a replica was leaving, draining or silent', function (this: ReplayWorld) {
+Then('some were made while a replica was leaving, draining or unresponsive', function (this: ReplayWorld) {
 	const shows: ReadonlyArray<(replica: ReplicaView, view: RouteRecord['view']) => boolean> = [
 		({leaving}) => leaving,
 		({load}) => load?.draining === true,
@@ -83,7 +83,7 @@
 	});
 });
 
-Then('none chooses a replica that is leaving, draining, silent or does not serve the target', function (this: ReplayWorld) {
+Then('none chooses a replica that is leaving, draining, unresponsive or does not serve the target', function (this: ReplayWorld) {
 	chosenOf(this).forEach(({record, choice}) => {
 		assert.ok(!mustNotServe(choice.chosen, record.view), `${record.id} went to ${choice.chosen.vm}`);
 	});
@@ -97,7 +97,7 @@
 	});
 });
 
-Then('none goes back to a replica that was tried while there is another', function (this: ReplayWorld) {
+Then('none retries a replica that was tried while there is another', function (this: ReplayWorld) {
 	chosenOf(this).filter(({question, choice}) => question.tried.has(choice.chosen.vm)).forEach(({record, question}) => {
 		assert.ok(question.replicas.every(({vm}) => question.tried.has(vm)), record.id);
 	});
@@ -109,7 +109,7 @@
 	});
 });
 
-Then('some lease changes hands', function (this: ReplayWorld) {
+Then('some lease changes its holder', function (this: ReplayWorld) {
 	assert.ok(this.leases.some(record => changesHands(record)));
 });
 
@@ -120,7 +120,7 @@
 	});
 });
 
-Then('the fencing number grows by one when a lease changes hands, and only then', function (this: ReplayWorld) {
+Then('the fencing number grows by one when a lease changes its holder, and only then', function (this: ReplayWorld) {
 	this.leases.forEach(record => {
 		const {question, decision, name} = record;
 		if (decision.kind === 'update') {
--- a/src/common/replayed-draws.ts
+++ b/src/common/replayed-draws.ts
@@ -19,7 +19,7 @@
 	next(): number {
 		const draw = this.#left.shift();
 		if (draw === undefined) {
-			throw new Error('the record holds fewer draws than the policy asks for');
+			throw new Error('the record holds fewer draws than the policy requests');
 		}
 
 		return draw;
--- a/src/common/replica-table.feature
+++ b/src/common/replica-table.feature
@@ -1,13 +1,13 @@
-Feature: What an entry believes of the VM list
+Feature: An entry's handling of the VM list
 
-  The platform's VM list fails in a way that looks like an answer: it is empty. An entry that
-  believed it would refuse every caller although all replicas answer. One VM that is missing is
-  another matter: it has left, and gets no new work.
+  The platform's VM list fails in a way that looks like a valid answer: it is empty. An entry that
+  applied it would refuse every caller although all replicas answer. A single VM that is missing is
+  different: it has been removed, and gets no new work.
 
   Background:
-    Given an entry that knows the replicas "a, b" by the VM list and their reports
+    Given an entry with the replicas "a, b" from the VM list and their reports
 
-  Scenario: An empty list is not believed
+  Scenario: An empty list is ignored
     When a VM list without backend servers is read
     Then "a, b" may get new work
 
--- a/src/common/replica-table.steps.ts
+++ b/src/common/replica-table.steps.ts
@@ -1,3 +1,6 @@
+/**
+Steps for the handling of the VM list by the replica table.
+*/
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {branded, type Revision} from './ids.js';
@@ -33,7 +36,7 @@
 	configRevision: branded<Revision>(0),
 });
 
-Given('an entry that knows the replicas {string} by the VM list and their reports', function (this: TableWorld, names: string) {
+Given('an entry with the replicas {string} from the VM list and their reports', function (this: TableWorld, names: string) {
 	this.table = new ReplicaTable(new ManualClock(), silentMs);
 	this.table.applyVmList(namesIn(names).map(vmEntry));
 	namesIn(names).forEach(name => {
--- a/src/common/request-ledger.steps.ts
+++ b/src/common/request-ledger.steps.ts
@@ -48,7 +48,7 @@
 	return {reading, isRead: world.ledger.read(world.asked, from, reading)};
 };
 
-Given('a ledger that keeps ended answers for {int} seconds and {int} bytes', function (this: LedgerWorld, seconds: number, bytes: number) {
+Given('a ledger that retains ended answers for {int} seconds and {int} bytes', function (this: LedgerWorld, seconds: number, bytes: number) {
 	this.now = startMs;
 	this.readings = [];
 	const clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
@@ -96,11 +96,11 @@
 	read(this, name, from);
 });
 
-Then('the ledger says of it {string}', function (this: LedgerWorld, state: string) {
+Then('the ledger reports its state as {string}', function (this: LedgerWorld, state: string) {
 	assert.equal(this.ledger.revoke(this.asked, deadlineMs).state, state);
 });
 
-Then('the attempt {string} may not begin', function (this: LedgerWorld, id: string) {
+Then('the attempt {string} may not start', function (this: LedgerWorld, id: string) {
 	assert.equal(this.ledger.begin(attemptOf(id), deadlineMs), 'revoked');
 });
 
@@ -113,14 +113,14 @@
 	assert.deepEqual([isRead, reading.ended, reading.chunks], [true, event, []]);
 });
 
-Then('the ledger keeps {int} bytes at the most, also after a sweep', function (this: LedgerWorld, bytes: number) {
+Then('the ledger retains at most {int} bytes, also after a sweep', function (this: LedgerWorld, bytes: number) {
 	assert.ok(this.ledger.endedBytes <= bytes);
 	this.now += 20_000;
 	this.ledger.sweep();
 	assert.equal(this.ledger.endedBytes, 0);
 });
 
-Then('each of the {int} attempts is known to have been run', function (this: LedgerWorld, count: number) {
+Then('each of the {int} attempts is recorded as run', function (this: LedgerWorld, count: number) {
 	const states = Array.from({length: count}, (_, i) => this.ledger.revoke(attemptOf(String(i)), deadlineMs).state);
 	assert.deepEqual(new Set(states), new Set(['done']));
 });
--- a/src/common/resource-check.ts
+++ b/src/common/resource-check.ts
@@ -33,11 +33,11 @@
 	}
 
 	if (!isObject(value) || !isObject(value.metadata) || !isObject(value.spec)) {
-		return 'wants metadata and spec';
+		return 'metadata or spec is missing or malformed';
 	}
 
 	if (value.metadata.name !== name) {
-		return 'metadata.name is not the object\'s name';
+		return 'metadata.name differs from the object\'s name';
 	}
 
 	const wrong = invalidField(value.spec, tests);
--- a/src/common/subset-policy.steps.ts
+++ b/src/common/subset-policy.steps.ts
@@ -1,3 +1,6 @@
+/**
+Steps for the choice of the replicas that an entry polls.
+*/
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {branded, type FailureDomain, type VmName} from './ids.js';
@@ -61,7 +64,7 @@
 	});
 });
 
-Then('each replica is known to {int} entries at the least and {int} at the most', function (this: SubsetWorld, least: number, most: number) {
+Then('each replica is chosen by at least {int} and at most {int} entries', function (this: SubsetWorld, least: number, most: number) {
 	const counts = new Map<VmName, number>(this.replicas.map(({vm}) => [vm, 0]));
 	this.entries.forEach((_, index) => {
 		subsetOf(this, index).forEach(vm => {
--- a/src/common/testing/fake-object-api.steps.ts
+++ b/src/common/testing/fake-object-api.steps.ts
@@ -26,7 +26,7 @@
 	this.fakeApi.loseNextAnswer();
 });
 
-Given('the object API in memory is down', function (this: FakeWorld) {
+Given('the object API in memory is unavailable', function (this: FakeWorld) {
 	this.fakeApi.down = true;
 });
 
@@ -47,7 +47,7 @@
 	this.watched = await watching;
 });
 
-Then('the writer in memory learns {string}', function (this: FakeWorld, kind: string) {
+Then('the writer in memory receives {string}', function (this: FakeWorld, kind: string) {
 	assert.equal(this.lastAnswer.swap().unsafeCoerce().kind, kind);
 });
 
--- a/src/common/testing/fake-object-api.ts
+++ b/src/common/testing/fake-object-api.ts
@@ -122,7 +122,7 @@
 	async #call<T>(method: keyof FakeObjectApi['calls'], kind: ObjectKind, name: string, effect: () => Answer<T> | Promise<Answer<T>>): Promise<Answer<T>> {
 		this.calls[method]++;
 		await this.beforeCall?.(method, kind, name);
-		return this.down ? Left({kind: 'unavailable', reason: 'the object API is down'}) : effect();
+		return this.down ? Left({kind: 'unavailable', reason: 'the object API is unavailable'}) : effect();
 	}
 
 	#find<T = unknown>(kind: ObjectKind, name: string): StoredObject<T> | undefined {
--- a/src/common/testing/test-world.ts
+++ b/src/common/testing/test-world.ts
@@ -33,7 +33,7 @@
 		}
 
 		if (errors.length > 0) {
-			throw new AggregateError(errors, 'A scenario left something that could not be released');
+			throw new AggregateError(errors, 'Resources of a scenario could not be released');
 		}
 	}
 }
--- a/src/common/testing/until.ts
+++ b/src/common/testing/until.ts
@@ -10,7 +10,7 @@
 	const deadline = performance.now() + giveUpMs;
 	while (!condition()) {
 		if (performance.now() > deadline) {
-			throw new Error(`waited in vain until ${text}`);
+			throw new Error(`timed out waiting until ${text}`);
 		}
 
 		await new Promise(resolve => {
