--- a/src/common/account-slots.ts
+++ b/src/common/account-slots.ts
@@ -7,7 +7,7 @@
 
 type Slots = {share: number; running: number; prefilling: number; seenAt: number};
 
-const activeMs = 2000;
+const activityWindowMs = 2000;
 /** Share of the slots that an account over its share leaves free while others are active. */
 export const headroomShare = 0.25;
 
@@ -19,7 +19,7 @@
 	readonly #clock: Clock;
 	readonly #maxRunning: number;
 	readonly #accounts = new Map<AccountName, Slots>();
-	#shares = 0;
+	#totalShares = 0;
 	#prunedAt = 0;
 
 	/** @param maxRunning - Requests the backend server runs at once. */
@@ -32,7 +32,7 @@
 	recordActivity({account, share}: QueueItem): void {
 		this.#prune();
 		const slots = this.#slotsOf(account);
-		this.#shares += share - slots.share;
+		this.#totalShares += share - slots.share;
 		slots.share = share;
 		slots.seenAt = this.#clock.now();
 	}
@@ -58,8 +58,8 @@
 	/** True when the account's next request would take more than twice its share of the slots, while other accounts are active. */
 	isOverShare({account}: QueueItem): boolean {
 		const slots = this.#slotsOf(account);
-		const fair = Math.min(Math.ceil(this.#maxRunning * slots.share / this.#shares * burstFactor), this.#maxRunning * (1 - headroomShare));
-		return slots.share < this.#shares && slots.running >= fair;
+		const fairLimit = Math.min(Math.ceil(this.#maxRunning * slots.share / this.#totalShares * burstFactor), this.#maxRunning * (1 - headroomShare));
+		return slots.share < this.#totalShares && slots.running >= fairLimit;
 	}
 
 	/** Requests of the account whose prompts are being computed. */
@@ -68,9 +68,9 @@
 	}
 
 	#slotsOf(account: AccountName): Slots {
-		const known = this.#accounts.get(account);
-		if (known) {
-			return known;
+		const existing = this.#accounts.get(account);
+		if (existing) {
+			return existing;
 		}
 
 		const slots = {
@@ -82,13 +82,13 @@
 
 	#prune() {
 		const now = this.#clock.now();
-		if (now - this.#prunedAt < activeMs) {
+		if (now - this.#prunedAt < activityWindowMs) {
 			return;
 		}
 
 		this.#prunedAt = now;
-		[...this.#accounts].filter(([, slots]) => slots.running === 0 && now - slots.seenAt >= activeMs).forEach(([account, slots]) => {
-			this.#shares -= slots.share;
+		[...this.#accounts].filter(([, slots]) => slots.running === 0 && now - slots.seenAt >= activityWindowMs).forEach(([account, slots]) => {
+			this.#totalShares -= slots.share;
 			this.#accounts.delete(account);
 		});
 	}
--- a/src/common/admission.steps.ts
+++ b/src/common/admission.steps.ts
@@ -15,9 +15,9 @@
 const states = new WeakMap<TestWorld, State>();
 const stateOf = (world: TestWorld) => states.get(world)!;
 const costTokens = 100;
-const longMs = 1_000_000;
+const farDeadlineMs = 1_000_000;
 
-const ticketOf = (state: State, workClass: WorkClass, account: string, deadlineMs = longMs): Ticket => {
+const ticketOf = (state: State, workClass: WorkClass, account: string, deadlineMs = farDeadlineMs): Ticket => {
 	state.offers += 1;
 	return {
 		key: `${workClass}-${state.offers}`, workClass, account: branded<AccountName>(account), share: 1, costTokens, promptTokens: costTokens / 2, deadlineAt: state.clock.now() + deadlineMs,
--- a/src/common/admission.ts
+++ b/src/common/admission.ts
@@ -102,7 +102,7 @@
 		}
 
 		const now = this.#clock.now();
-		this.#noteProgress(running, tokens, now);
+		this.#recordProgress(running, tokens, now);
 		this.#running.progressed(key, tokens, now);
 	}
 
@@ -112,7 +112,7 @@
 	@param served - False when it was cancelled or failed; its duration is then left out of the backend server's rate.
 	*/
 	finish(key: string, served = true): void {
-		const running = this.#leave(key);
+		const running = this.#removeRunning(key);
 		if (!running) {
 			return;
 		}
@@ -130,7 +130,7 @@
 
 	/** Records that a preempted item has left the backend server and queues it again. Call `steps` afterwards. */
 	preempted(key: string): void {
-		const running = this.#leave(key);
+		const running = this.#removeRunning(key);
 		if (running) {
 			this.#queues.batch.unshift(running.ticket);
 			this.#queued.set(key, running.ticket);
@@ -149,10 +149,10 @@
 			this.pacer.recordOnlineActivity();
 		}
 
-		return [...this.#expired(), ...this.#startOnline(), ...this.#preemptions(), ...this.#startBatch()];
+		return [...this.#refuseExpired(), ...this.#startOnline(), ...this.#preemptions(), ...this.#startBatch()];
 	}
 
-	get #size() {
+	get #runningCount() {
 		return this.onlineRunning + this.batchRunning;
 	}
 
@@ -168,8 +168,8 @@
 		return this.#longPrompts.remove(ticket) || this.#queues[ticket.workClass].remove(ticket);
 	}
 
-	#noteProgress({ticket, startedAt, tokens: before, lastTokenAt: tokenAt}: RunningItem, tokens: number, now: number) {
-		const isFirst = before === 0;
+	#recordProgress({ticket, startedAt, tokens: tokensBefore, lastTokenAt: tokenAt}: RunningItem, tokens: number, now: number) {
+		const isFirst = tokensBefore === 0;
 		if (ticket.workClass === 'batch') {
 			if (isFirst) {
 				this.pacer.recordFirstBatchToken(now - startedAt);
@@ -185,7 +185,7 @@
 		}
 	}
 
-	#leave(key: string): RunningItem | undefined {
+	#removeRunning(key: string): RunningItem | undefined {
 		const running = this.#running.end(key);
 		if (!running) {
 			return undefined;
@@ -238,13 +238,13 @@
 	}
 
 	// Work that can no longer be completed before its deadline is refused at once: it would take a slot from work that can.
-	#expired(): AdmissionStep[] {
+	#refuseExpired(): AdmissionStep[] {
 		const now = this.#clock.now();
 		if (now < this.#nextDeadline) {
 			return [];
 		}
 
-		const isFull = this.#size >= this.#limits.maxRunning;
+		const isFull = this.#runningCount >= this.#limits.maxRunning;
 		const expired = this.#queues.online.takeWhere(ticket => now >= (isFull ? this.#latestStart(ticket) : ticket.deadlineAt));
 		expired.forEach(({key}) => {
 			this.#queued.delete(key);
@@ -254,7 +254,7 @@
 	}
 
 	#startOnline(): AdmissionStep[] {
-		return this.#startFrom('online', () => this.#size < this.#limits.maxRunning, ticket => this.#mayTakePlace(ticket));
+		return this.#startFrom('online', () => this.#runningCount < this.#limits.maxRunning, ticket => this.#mayTakeSlot(ticket));
 	}
 
 	#startBatch(): AdmissionStep[] {
@@ -262,37 +262,37 @@
 			return [];
 		}
 
-		this.#holdLongPrompts();
+		this.#holdBackLongPrompts();
 		const {limit, prefillTokenLimit: prefillRoom} = this.pacer;
-		return this.#startFrom('batch', () => this.#size < this.#batchRoom
+		return this.#startFrom('batch', () => this.#runningCount < this.#batchRoom
 			&& this.batchRunning < limit
 			&& this.#running.batchPrefillTokens < prefillRoom
 			&& this.pacer.mayStart());
 	}
 
-	#holdLongPrompts() {
+	#holdBackLongPrompts() {
 		this.#longPrompts.release(this.pacer.isOnlinePresent).toReversed().forEach(ticket => {
 			this.#queues.batch.unshift(ticket);
 		});
-		for (let next = this.#queues.batch.peek(); next && this.#mustGiveWay(next); next = this.#queues.batch.peek()) {
+		for (let next = this.#queues.batch.peek(); next && this.#mustYield(next); next = this.#queues.batch.peek()) {
 			this.#longPrompts.holdBack(this.#queues.batch.shift()!);
 		}
 	}
 
-	#mustGiveWay(ticket: Ticket): boolean {
+	#mustYield(ticket: Ticket): boolean {
 		return this.pacer.isOnlinePresent && ticketPromptTokens(ticket) > this.pacer.prefillTokenLimit && this.#longPrompts.shouldYield(ticket);
 	}
 
 	// An account over its share leaves slots free and computes one prompt at a time, otherwise the requests of other accounts would wait for its requests to end.
-	#mayTakePlace(ticket: Ticket): boolean {
+	#mayTakeSlot(ticket: Ticket): boolean {
 		return !this.#slots.isOverShare(ticket)
 			|| (this.onlineRunning < this.#limits.maxRunning * (1 - headroomShare) && this.#slots.prefilling(ticket) < 1);
 	}
 
-	#startFrom(workClass: WorkClass, hasRoom: () => boolean, fits?: (ticket: Ticket) => boolean): AdmissionStep[] {
+	#startFrom(workClass: WorkClass, hasCapacity: () => boolean, isEligible?: (ticket: Ticket) => boolean): AdmissionStep[] {
 		const started: AdmissionStep[] = [];
-		while (this.#queues[workClass].length > 0 && hasRoom()) {
-			const ticket = this.#queues[workClass].shift(fits);
+		while (this.#queues[workClass].length > 0 && hasCapacity()) {
+			const ticket = this.#queues[workClass].shift(isEligible);
 			if (!ticket) {
 				break;
 			}
@@ -317,11 +317,11 @@
 	// Without preemption the engine would delay online work until batch items end; a cancelled item frees its slot within one step and is resumed later.
 	#preemptions(): AdmissionStep[] {
 		const overLimit = this.batchRunning - this.#preempting.size - this.pacer.limit;
-		const wanted = Math.max(0, this.onlineQueued - this.#preempting.size, overLimit);
+		const preemptionsNeeded = Math.max(0, this.onlineQueued - this.#preempting.size, overLimit);
 		const candidates = this.#running.all('batch').filter(({ticket}) => !this.#preempting.has(ticket.key));
-		const inTheWay = candidates.filter(({ticket, tokens}) => tokens === 0 && this.#mustGiveWay(ticket));
-		const others = wanted > inTheWay.length ? candidates.filter(running => !inTheWay.includes(running)).slice(inTheWay.length - wanted) : [];
-		return [...inTheWay, ...others]
+		const yieldingItems = candidates.filter(({ticket, tokens}) => tokens === 0 && this.#mustYield(ticket));
+		const others = preemptionsNeeded > yieldingItems.length ? candidates.filter(running => !yieldingItems.includes(running)).slice(yieldingItems.length - preemptionsNeeded) : [];
+		return [...yieldingItems, ...others]
 			.map(({ticket}) => {
 				this.#preempting.add(ticket.key);
 				return {kind: 'preempt', ticket};
--- a/src/common/answer-assembler.ts
+++ b/src/common/answer-assembler.ts
@@ -49,7 +49,7 @@
 	}
 
 	/** The log probabilities in the form of a complete answer; null when there are none. */
-	get wholeLogprobs(): JsonObject | null {
+	get completeLogprobs(): JsonObject | null {
 		return this.logprobs.size > 0 ? Object.fromEntries(this.logprobs) : null;
 	}
 
@@ -69,19 +69,19 @@
 
 	#addLogprobs(choice: ChunkChoice) {
 		Object.entries(choice.logprobs ?? {}).filter(([, value]) => value !== null).forEach(([name, value]) => {
-			const earlier = this.logprobs.get(name);
-			if (Array.isArray(earlier) && Array.isArray(value)) {
-				earlier.push(...value as unknown[]);
+			const previous = this.logprobs.get(name);
+			if (Array.isArray(previous) && Array.isArray(value)) {
+				previous.push(...value as unknown[]);
 			} else {
-				this.logprobs.set(name, Array.isArray(value) ? [...value as unknown[]] : earlier ?? value);
+				this.logprobs.set(name, Array.isArray(value) ? [...value as unknown[]] : previous ?? value);
 			}
 		});
 	}
 
 	// Strings arrive in pieces and are joined; of any other type the last value counts.
 	#addOther(name: string, value: unknown) {
-		const earlier = this.others.get(name);
-		this.others.set(name, typeof earlier === 'string' && typeof value === 'string' ? earlier + value : value);
+		const previous = this.others.get(name);
+		this.others.set(name, typeof previous === 'string' && typeof value === 'string' ? previous + value : value);
 	}
 
 	#addToolCall(delta: ToolCallDelta) {
@@ -95,17 +95,17 @@
 
 /** Collects one answer, over all attempts that contributed to it. */
 export class AnswerAssembler {
-	readonly #wanted: number;
+	readonly #choicesRequested: number;
 	readonly #choices = new Map<number, ChoiceParts>();
 	#finished: FinishedChoices;
-	#frame: AnswerChunk = {};
+	#firstChunk: AnswerChunk = {};
 	#usage: JsonObject | undefined;
 	#tokens = 0;
 
 	/** @param request - The request as sent to the engine. */
 	constructor(request: JsonObject) {
-		this.#wanted = requestedChoices(request);
-		this.#finished = new FinishedChoices(this.#wanted);
+		this.#choicesRequested = requestedChoices(request);
+		this.#finished = new FinishedChoices(this.#choicesRequested);
 	}
 
 	/** True once the engine has sent a finish reason for every requested choice. */
@@ -131,13 +131,13 @@
 	/** The point from which another engine can resume; undefined when the answer holds, or will hold, more than the text of one choice. */
 	get resumePoint(): ResumePoint | undefined {
 		const first = this.#choices.get(0);
-		return (first?.isPlain ?? true) && this.#wanted === 1 && this.#choices.size <= 1 ? {text: first?.text ?? '', tokens: this.#tokens} : undefined;
+		return (first?.isPlain ?? true) && this.#choicesRequested === 1 && this.#choices.size <= 1 ? {text: first?.text ?? '', tokens: this.#tokens} : undefined;
 	}
 
 	/** Adds one chunk. */
 	add(chunk: AnswerChunk): void {
-		if (this.#frame.id === undefined) {
-			this.#frame = chunk;
+		if (this.#firstChunk.id === undefined) {
+			this.#firstChunk = chunk;
 		}
 
 		this.#finished.add(chunk);
@@ -150,8 +150,8 @@
 	/** Discards what was collected, for an answer that is restarted. */
 	clear(): void {
 		this.#choices.clear();
-		this.#finished = new FinishedChoices(this.#wanted);
-		this.#frame = {};
+		this.#finished = new FinishedChoices(this.#choicesRequested);
+		this.#firstChunk = {};
 		this.#usage = undefined;
 		this.#tokens = 0;
 	}
@@ -162,12 +162,12 @@
 	@param id - The id shown to the caller.
 	*/
 	result(id: string): JsonObject {
-		const isChat = (this.#frame.object ?? 'chat.completion.chunk').startsWith('chat');
+		const isChat = (this.#firstChunk.object ?? 'chat.completion.chunk').startsWith('chat');
 		return {
 			id,
 			object: isChat ? 'chat.completion' : 'text_completion',
-			created: this.#frame.created,
-			model: this.#frame.model,
+			created: this.#firstChunk.created,
+			model: this.#firstChunk.model,
 			choices: [...this.#choices].toSorted(([a], [b]) => a - b).map(([index, parts]) => isChat ? this.#chatChoice(index, parts) : this.#textChoice(index, parts)),
 			usage: this.#usage,
 		};
@@ -178,8 +178,8 @@
 		this.#choices.set(choice.index, parts);
 		parts.add(choice);
 		const text = choice.delta?.content ?? choice.text ?? '';
-		const hasMore = Boolean(choice.delta?.tool_calls) || otherFields(choice.delta ?? {}).length > 0;
-		if (text !== '' || hasMore) {
+		const hasOtherContent = Boolean(choice.delta?.tool_calls) || otherFields(choice.delta ?? {}).length > 0;
+		if (text !== '' || hasOtherContent) {
 			this.#tokens += 1;
 		}
 	}
@@ -194,14 +194,14 @@
 				...Object.fromEntries(parts.others),
 				...(parts.toolCalls.length > 0 && {tool_calls: parts.toolCalls}),
 			},
-			logprobs: parts.wholeLogprobs,
+			logprobs: parts.completeLogprobs,
 			finish_reason: parts.finishReason,
 		};
 	}
 
 	#textChoice(index: number, parts: ChoiceParts): JsonObject {
 		return {
-			index, text: parts.text, logprobs: parts.wholeLogprobs, finish_reason: parts.finishReason,
+			index, text: parts.text, logprobs: parts.completeLogprobs, finish_reason: parts.finishReason,
 		};
 	}
 }
--- a/src/common/batch-pacer.ts
+++ b/src/common/batch-pacer.ts
@@ -15,21 +15,21 @@
 
 type Window = {ms: number; tokens: number};
 
-const millisecondsWithoutOnline = 60;
+const onlinePresenceMs = 60;
 const baselineMaxAgeMs = 30_000;
 const windowTokens = 64;
-const decrease = 0.7;
-const smoothing = 0.3;
-const unusedLimit = 2;
-const toleranceAtLeast = 0.05;
-const toleranceAtMost = 0.5;
-const startShareAtLeast = 0.005;
-const startShareAtMost = 0.5;
-const prefillTokensAtLeast = 512;
-const prefillTokensAtMost = 2048;
-
-const between = (least: number, most: number, weight: number) => least + ((most - least) * weight);
-const smooth = (mean: number | undefined, value: number) => mean === undefined ? value : mean + (smoothing * (value - mean));
+const decreaseFactor = 0.7;
+const smoothingFactor = 0.3;
+const maxUnusedLimit = 2;
+const minTolerance = 0.05;
+const maxTolerance = 0.5;
+const minStartShare = 0.005;
+const maxStartShare = 0.5;
+const minPrefillTokens = 512;
+const maxPrefillTokens = 2048;
+
+const interpolate = (minimum: number, maximum: number, weight: number) => minimum + ((maximum - minimum) * weight);
+const smooth = (mean: number | undefined, value: number) => mean === undefined ? value : mean + (smoothingFactor * (value - mean));
 
 /** Determines how much batch work may run and start. */
 export class BatchPacer {
@@ -43,10 +43,10 @@
 	readonly #windows: Record<'alone' | 'beside', Window> = {alone: {ms: 0, tokens: 0}, beside: {ms: 0, tokens: 0}};
 	readonly #handlers: Record<'alone' | 'beside', (mean: number, batchRunning: number) => void> = {
 		alone: mean => {
-			this.#learn(mean);
+			this.#updateBaseline(mean);
 		},
 		beside: (mean, batchRunning) => {
-			this.#judge(mean, batchRunning);
+			this.#adjustLimit(mean, batchRunning);
 		},
 	};
 
@@ -76,12 +76,12 @@
 
 	/** Prompt tokens of batch items that may be computed at once; bounds how long an arriving online request waits for them. */
 	get prefillTokenLimit(): number {
-		return between(prefillTokensAtLeast, prefillTokensAtMost, this.#settings.batchWeight);
+		return interpolate(minPrefillTokens, maxPrefillTokens, this.#settings.batchWeight);
 	}
 
 	/** Records that online work is running or waiting; to be called whenever it is. */
 	recordOnlineActivity(): void {
-		this.#onlineUntil = this.#clock.now() + millisecondsWithoutOnline;
+		this.#onlineUntil = this.#clock.now() + onlinePresenceMs;
 	}
 
 	/** True when a batch item may start now. */
@@ -122,20 +122,20 @@
 	}
 
 	get #startGapMs() {
-		const share = between(startShareAtLeast, startShareAtMost, this.#settings.batchWeight ** 2);
+		const share = interpolate(minStartShare, maxStartShare, this.#settings.batchWeight ** 2);
 		return (this.#startMs ?? 0) / share;
 	}
 
-	#learn(mean: number) {
+	#updateBaseline(mean: number) {
 		this.#baseline = smooth(this.#baseline, mean);
 		this.#baselineAt = this.#clock.now();
 		this.#grow(0);
 	}
 
-	#judge(mean: number, batchRunning: number) {
-		const tolerance = between(toleranceAtLeast, toleranceAtMost, this.#settings.batchWeight);
+	#adjustLimit(mean: number, batchRunning: number) {
+		const tolerance = interpolate(minTolerance, maxTolerance, this.#settings.batchWeight);
 		if (this.#baseline !== undefined && mean > this.#baseline * (1 + tolerance)) {
-			this.#limit *= decrease;
+			this.#limit *= decreaseFactor;
 			return;
 		}
 
@@ -144,7 +144,7 @@
 
 	// A limit that is not reached has not been tested, so it grows only slightly beyond the number of running items.
 	#grow(batchRunning: number) {
-		const most = Math.min(this.#settings.maxRunning, batchRunning + unusedLimit);
-		this.#limit = Math.max(this.#limit, Math.min(this.#limit + 1, most));
+		const maximum = Math.min(this.#settings.maxRunning, batchRunning + maxUnusedLimit);
+		this.#limit = Math.max(this.#limit, Math.min(this.#limit + 1, maximum));
 	}
 }
--- a/src/common/cache-mirror.ts
+++ b/src/common/cache-mirror.ts
@@ -14,7 +14,7 @@
 type Numbered = {readonly seq: number; readonly blocks: readonly BlockHash[]};
 
 // Reports are sent several times a second; an entry that has missed more than this many events starts over with an empty index.
-const maxRemembered = 256;
+const maxRetainedEvents = 256;
 
 /** The engine's blocks, and the changes that entries may not have received yet. */
 export class CacheMirror {
@@ -32,7 +32,7 @@
 			this.#drops.push(event);
 		},
 		cleared: event => {
-			this.#forget(event.seq);
+			this.#clear(event.seq);
 		},
 	};
 
@@ -56,7 +56,7 @@
 	apply(events: readonly CacheEvent[]): void {
 		events.forEach(event => {
 			if (event.seq !== this.#seq + 1) {
-				this.#forget(event.seq);
+				this.#clear(event.seq);
 			}
 
 			this.#seq = event.seq;
@@ -67,7 +67,7 @@
 
 	/** Clears the copy, for instance when the engine did not answer and may have been restarted. */
 	reset(): void {
-		this.#forget(0);
+		this.#clear(0);
 		this.#seq = 0;
 	}
 
@@ -98,7 +98,7 @@
 		};
 	}
 
-	#forget(seq: number) {
+	#clear(seq: number) {
 		this.#blocks.clear();
 		this.#drops = [];
 		this.#answers = [];
@@ -106,8 +106,8 @@
 	}
 
 	#trim() {
-		const excess = this.#drops.splice(0, Math.max(0, this.#drops.length - maxRemembered));
+		const excess = this.#drops.splice(0, Math.max(0, this.#drops.length - maxRetainedEvents));
 		this.#from = Math.max(this.#from, excess.at(-1)?.seq ?? 0);
-		this.#answers.splice(0, Math.max(0, this.#answers.length - maxRemembered));
+		this.#answers.splice(0, Math.max(0, this.#answers.length - maxRetainedEvents));
 	}
 }
--- a/src/common/concurrency-limit.ts
+++ b/src/common/concurrency-limit.ts
@@ -25,12 +25,12 @@
 		try {
 			return await task();
 		} finally {
-			this.#leave();
+			this.#releaseSlot();
 		}
 	}
 
 	// The slot of a finished task passes directly to the next one, without becoming free in between.
-	#leave() {
+	#releaseSlot() {
 		const next = this.#waiting.shift();
 		if (next) {
 			next();
--- a/src/common/config-bootstrap.steps.ts
+++ b/src/common/config-bootstrap.steps.ts
@@ -16,7 +16,7 @@
 	peers: readonly string[];
 	ask: PollNode;
 	api: ConfigChanges | undefined;
-	first: InitialConfig | undefined;
+	initial: InitialConfig | undefined;
 };
 
 const rounds = 3;
@@ -57,7 +57,7 @@
 	let round = 0;
 	const clock = new ManualClock();
 	clock.sleep = async () => undefined;
-	this.first = await loadInitialConfig({
+	this.initial = await loadInitialConfig({
 		clock,
 		random: {next: () => 0},
 		node: 'entry-1',
@@ -73,13 +73,13 @@
 });
 
 Then('it waits', function (this: BootstrapWorld) {
-	assert.equal(this.first, undefined);
+	assert.equal(this.initial, undefined);
 });
 
 Then('it has models {string} at revision {int}', function (this: BootstrapWorld, names: string, revision: number) {
 	const table = new ConfigTable();
-	assert.ok(this.first);
-	table.apply(this.first.changes);
+	assert.ok(this.initial);
+	table.apply(this.initial.changes);
 	assert.equal(table.list(kind).map(({name}) => name).join(' '), names);
 	assert.equal(table.revision, revision);
 });
--- a/src/common/config-bootstrap.ts
+++ b/src/common/config-bootstrap.ts
@@ -34,34 +34,34 @@
 /** The initial configuration with its source. */
 export type InitialConfig = {readonly changes: ConfigChanges; readonly source: ConfigSource};
 
-type Step = (parts: BootstrapParts) => Promise<InitialConfig | undefined>;
+type LoadStep = (parts: BootstrapParts) => Promise<InitialConfig | undefined>;
 
-const shortestRetryMs = 200;
-const retrySpreadMs = 800;
+const minRetryDelayMs = 200;
+const retryJitterMs = 800;
 
 // A restart must not revert the configuration. Two peers that agree may both have been disconnected since long before the snapshot was written, and the object API may have been restored from a backup.
 const isBehind = ({snapshot}: BootstrapParts, revision: Revision): boolean => snapshot !== undefined && revision < snapshot.revision;
 
-const fromApi: Step = async parts => {
+const fromApi: LoadStep = async parts => {
 	const read = await parts.readApi();
 	return read.map((changes): InitialConfig | undefined => isBehind(parts, changes.revision) ? undefined : {changes, source: 'objectApi'}).orDefault(undefined);
 };
 
-const askFor = async ({ask, node, scope}: BootstrapParts, peer: string, since: Revision): Promise<ConfigAnswer | undefined> => {
+const pollPeer = async ({ask, node, scope}: BootstrapParts, peer: string, since: Revision): Promise<ConfigAnswer | undefined> => {
 	const answer = await ask(peer, {
 		node, since, scope, waitMs: 0, wantsDigest: true,
 	});
-	return answer.map((got): ConfigAnswer | undefined => got.isReady ? got : undefined).orDefault(undefined);
+	return answer.map((received): ConfigAnswer | undefined => received.isReady ? received : undefined).orDefault(undefined);
 };
 
-const fromSnapshot: Step = async parts => {
+const fromSnapshot: LoadStep = async parts => {
 	const {snapshot} = parts;
 	if (!snapshot) {
 		return undefined;
 	}
 
 	for (const peer of parts.peers()) {
-		const answer = await askFor(parts, peer, snapshot.revision);
+		const answer = await pollPeer(parts, peer, snapshot.revision);
 		// A peer that is behind the snapshot can not confirm it.
 		if (answer && answer.revision >= snapshot.revision) {
 			const table = new ConfigTable();
@@ -74,11 +74,11 @@
 	return undefined;
 };
 
-const fromPeers: Step = async parts => {
+const fromPeers: LoadStep = async parts => {
 	const table = new ConfigTable();
 	for (const peer of parts.peers()) {
 		const isFirst = table.revision === 0;
-		const answer = await askFor(parts, peer, table.revision);
+		const answer = await pollPeer(parts, peer, table.revision);
 		if (answer) {
 			// The table applies the changes that it lacks, so it reaches the revision of the newest peer, and the digest of an older one can not match.
 			table.apply(answer);
@@ -95,16 +95,16 @@
 /** Tries all sources repeatedly until one provides a configuration. Resolves with undefined once `isDisposed` returns true. */
 export const loadInitialConfig = async (parts: BootstrapParts, isDisposed: () => boolean): Promise<InitialConfig | undefined> => {
 	while (!isDisposed()) {
-		const steps: readonly Step[] = parts.prefersApi() ? [fromApi, fromSnapshot, fromPeers] : [fromSnapshot, fromPeers, fromApi];
+		const steps: readonly LoadStep[] = parts.prefersApi() ? [fromApi, fromSnapshot, fromPeers] : [fromSnapshot, fromPeers, fromApi];
 		for (const step of steps) {
-			const first = await step(parts);
-			if (first) {
-				return first;
+			const initial = await step(parts);
+			if (initial) {
+				return initial;
 			}
 		}
 
 		// Random delay, so that nodes that start together after an outage do not retry together.
-		await parts.clock.sleep(shortestRetryMs + (parts.random.next() * retrySpreadMs));
+		await parts.clock.sleep(minRetryDelayMs + (parts.random.next() * retryJitterMs));
 	}
 
 	return undefined;
--- a/src/common/config-counts.ts
+++ b/src/common/config-counts.ts
@@ -6,13 +6,13 @@
 import type {Clock} from './services.js';
 
 // Lifetimes of a report. They are bounded because a node that has switched to another upstream must not be counted twice for long: by then its poll here has timed out.
-const waitingMs = pollTimeoutMs;
-const answeredMs = pollTimeoutMs - pollWaitMs;
+const pendingReportTtlMs = pollTimeoutMs;
+const answeredReportTtlMs = pollTimeoutMs - pollWaitMs;
 const maxRows = 8;
 
 type Report = {readonly counts: readonly InForceCount[]; readonly until: number};
 
-const merged = (counts: readonly InForceCount[]): InForceCount[] => {
+const mergeCounts = (counts: readonly InForceCount[]): InForceCount[] => {
 	const sums = counts.reduce((sum, {version, nodes}) => sum.set(version, (sum.get(version) ?? 0) + nodes), new Map<Revision, number>());
 	return [...sums].map(([version, nodes]) => ({version, nodes})).toSorted((a, b) => b.version - a.version);
 };
@@ -37,14 +37,14 @@
 
 	/** Records the counts that a polling node reports for itself and the nodes below it. */
 	recordCounts(node: string, counts: readonly InForceCount[]): void {
-		this.#reports.set(node, {counts, until: this.#clock.now() + waitingMs});
+		this.#reports.set(node, {counts, until: this.#clock.now() + pendingReportTtlMs});
 	}
 
 	/** Shortens the lifetime of a node's report once its poll is answered: the node polls again at once, here or at another upstream. */
 	markAnswered(node: string): void {
 		const report = this.#reports.get(node);
 		if (report) {
-			this.#reports.set(node, {...report, until: this.#clock.now() + answeredMs});
+			this.#reports.set(node, {...report, until: this.#clock.now() + answeredReportTtlMs});
 		}
 	}
 
@@ -54,9 +54,9 @@
 		[...this.#reports].filter(([, {until}]) => until < now).forEach(([node]) => {
 			this.#reports.delete(node);
 		});
-		const all = merged([{version: this.#own(), nodes: 1}, ...[...this.#reports.values()].flatMap(({counts}) => counts)]);
+		const all = mergeCounts([{version: this.#own(), nodes: 1}, ...[...this.#reports.values()].flatMap(({counts}) => counts)]);
 		// Rows beyond the maximum are counted at the oldest version: the number of nodes in force may be underestimated, but not overestimated.
 		const rest = all.slice(maxRows - 1).map(({nodes}) => ({version: all.at(-1)!.version, nodes}));
-		return all.length <= maxRows ? all : [...all.slice(0, maxRows - 1), ...merged(rest)];
+		return all.length <= maxRows ? all : [...all.slice(0, maxRows - 1), ...mergeCounts(rest)];
 	}
 }
--- a/src/common/config-feed.ts
+++ b/src/common/config-feed.ts
@@ -17,14 +17,14 @@
 	readonly isConnected: () => boolean;
 };
 
-const hasNews = (changes: ConfigChanges, poll: ConfigPoll) => changes.events.length > 0 || (changes.full && changes.revision > poll.since);
+const hasChanges = (changes: ConfigChanges, poll: ConfigPoll) => changes.events.length > 0 || (changes.full && changes.revision > poll.since);
 
 /** Serves one node's table to other nodes. */
 export class ConfigFeed implements Disposable {
 	readonly #parts: FeedParts;
 	readonly #wakers = new Set<() => void>();
 	readonly #stop: () => void;
-	#losses = 0;
+	#disconnections = 0;
 
 	constructor(parts: FeedParts) {
 		this.#parts = parts;
@@ -41,10 +41,10 @@
 		}
 
 		const until = clock.now() + Math.min(poll.waitMs, pollWaitMs);
-		const losses = this.#losses;
+		const disconnections = this.#disconnections;
 		let changes = table.changesSince(poll.since, poll.scope);
-		while (this.#losses === losses && this.#parts.isReady() && !hasNews(changes, poll) && clock.now() < until) {
-			await this.#nextBatch(until - clock.now());
+		while (this.#disconnections === disconnections && this.#parts.isReady() && !hasChanges(changes, poll) && clock.now() < until) {
+			await this.#waitForBatch(until - clock.now());
 			changes = table.changesSince(poll.since, poll.scope);
 		}
 
@@ -54,7 +54,7 @@
 
 	/** Answers all pending polls at once, because this node is no longer connected and the polling nodes should switch to another one without delay. */
 	answerPendingPolls(): void {
-		this.#losses += 1;
+		this.#disconnections += 1;
 		this.#wakeAll();
 	}
 
@@ -74,7 +74,7 @@
 		};
 	}
 
-	async #nextBatch(ms: number): Promise<void> {
+	async #waitForBatch(ms: number): Promise<void> {
 		return new Promise(resolve => {
 			const wake = () => {
 				clearTimeout(timer);
--- a/src/common/config-in-force.ts
+++ b/src/common/config-in-force.ts
@@ -27,8 +27,8 @@
 };
 
 /** A change takes a moment to reach all nodes; reporting each step of it would only cost calls. */
-const firstReportMs = 3000;
-const reportAgainMs = 5000;
+const firstReportDelayMs = 3000;
+const reportIntervalMs = 5000;
 /** A node that has just switched upstreams is briefly counted at both, and could hide one that is behind. */
 const settleMs = 2000;
 
@@ -49,8 +49,8 @@
 	}
 
 	return reportedAt === undefined
-		? now - seenAt >= firstReportMs
-		: now - reportedAt >= reportAgainMs && (reported?.nodesInForce !== tally.nodesInForce || reported.nodesKnown !== tally.nodesKnown);
+		? now - seenAt >= firstReportDelayMs
+		: now - reportedAt >= reportIntervalMs && (reported?.nodesInForce !== tally.nodesInForce || reported.nodesKnown !== tally.nodesKnown);
 };
 
 /** Whether a status already shows that a resource's generation is in force. */
--- a/src/common/config-peer-follower.ts
+++ b/src/common/config-peer-follower.ts
@@ -26,17 +26,17 @@
 };
 
 /** Milliseconds after which the best upstream is tried again. */
-const returnMs = 30_000;
-const shortestRetryMs = 100;
-const retrySpreadMs = 400;
+const preferredRetryMs = 30_000;
+const minRetryDelayMs = 100;
+const retryJitterMs = 400;
 
 /** Follows until disposed. */
 export class ConfigPeerFollower implements Disposable {
 	readonly #parts: PeerFollowerParts;
 	#index = 0;
-	#best: string | undefined;
+	#preferred: string | undefined;
 	#failures = 0;
-	#movedAt = 0;
+	#switchedAt = 0;
 	#isConnected = false;
 	#disposed = false;
 
@@ -52,11 +52,11 @@
 	/** Polls until disposed. Resolves after `dispose`. */
 	async run(): Promise<void> {
 		while (!this.#disposed) {
-			const upstream = this.#choose();
-			const isGood = upstream !== undefined && await this.#poll(upstream);
-			this.#failures = isGood ? 0 : this.#failures + 1;
-			if (!isGood) {
-				await this.#moveOn();
+			const upstream = this.#chooseUpstream();
+			const isSuccess = upstream !== undefined && await this.#poll(upstream);
+			this.#failures = isSuccess ? 0 : this.#failures + 1;
+			if (!isSuccess) {
+				await this.#switchUpstream();
 			}
 		}
 	}
@@ -65,11 +65,11 @@
 		this.#disposed = true;
 	}
 
-	#choose(): string | undefined {
+	#chooseUpstream(): string | undefined {
 		const upstreams = this.#parts.upstreams();
-		if (upstreams[0] !== this.#best || this.#parts.clock.now() - this.#movedAt > returnMs) {
-			this.#best = upstreams[0];
-			this.#movedAt = this.#parts.clock.now();
+		if (upstreams[0] !== this.#preferred || this.#parts.clock.now() - this.#switchedAt > preferredRetryMs) {
+			this.#preferred = upstreams[0];
+			this.#switchedAt = this.#parts.clock.now();
 			this.#index = 0;
 		}
 
@@ -81,13 +81,13 @@
 		const answer = await ask(upstream, {
 			node, since: table.revision, waitMs: this.isConnected ? pollWaitMs : 0, scope, counts: counts(),
 		});
-		return !this.#disposed && answer.map(got => this.#take(got)).orDefault(false);
+		return !this.#disposed && answer.map(received => this.#applyAnswer(received)).orDefault(false);
 	}
 
 	// Changes are accepted from any node, even a disconnected one: the table keeps only newer ones. But a disconnected node is not polled again.
-	#take(answer: ConfigAnswer): boolean {
-		const isTaken = answer.isReady && this.#parts.table.apply(answer);
-		if (!isTaken || !answer.isConnected) {
+	#applyAnswer(answer: ConfigAnswer): boolean {
+		const isApplied = answer.isReady && this.#parts.table.apply(answer);
+		if (!isApplied || !answer.isConnected) {
 			return false;
 		}
 
@@ -95,12 +95,12 @@
 		return true;
 	}
 
-	async #moveOn() {
+	async #switchUpstream() {
 		const {clock, random, upstreams, onLost, onRoundFailed} = this.#parts;
 		this.#isConnected = false;
 		onLost?.();
 		this.#index += 1;
-		this.#movedAt = clock.now();
+		this.#switchedAt = clock.now();
 		const round = Math.max(1, upstreams().length);
 		if (this.#failures % round !== 0) {
 			return;
@@ -108,6 +108,6 @@
 
 		// All upstreams failed. The delay is random, so that not all nodes return at the moment when an outage ends.
 		await onRoundFailed?.();
-		await clock.sleep(shortestRetryMs + (random.next() * retrySpreadMs));
+		await clock.sleep(minRetryDelayMs + (random.next() * retryJitterMs));
 	}
 }
--- a/src/common/config-reader.ts
+++ b/src/common/config-reader.ts
@@ -31,7 +31,7 @@
 	return Right({items, version: first.version});
 };
 
-const withCatchUp = (lists: readonly KindList[], {events, version}: WatchBatch, name?: string): ConfigChanges => {
+const withLaterChanges = (lists: readonly KindList[], {events, version}: WatchBatch, name?: string): ConfigChanges => {
 	const later = events.filter(event => name === undefined || event.name === name);
 	const listed = lists.flatMap(({items}) => items.map((item): WatchEvent => ({type: 'put', ...item})));
 	const byKey = new Map([...listed, ...later].map(event => [`${event.kind}/${event.name}`, event]));
@@ -58,8 +58,8 @@
 	}
 
 	const since = lists[0]?.version ?? 0 as Revision;
-	const caughtUp = await api.watch(kinds, since, 0);
-	return caughtUp.map(batch => withCatchUp(lists, batch, name));
+	const watched = await api.watch(kinds, since, 0);
+	return watched.map(batch => withLaterChanges(lists, batch, name));
 };
 
 /** Converts the result of one watch to changes of the table. */
--- a/src/common/config-table.steps.ts
+++ b/src/common/config-table.steps.ts
@@ -11,7 +11,7 @@
 type TableWorld = TestWorld & {
 	table: ConfigTable;
 	other: ConfigTable;
-	taken: boolean;
+	isApplied: boolean;
 	changes: string[];
 };
 
@@ -47,7 +47,7 @@
 });
 
 When('the changes from {int} to {int} put {string}', function (this: TableWorld, since: number, revision: number, text: string) {
-	this.taken = this.table.apply(changesOf(false, since, revision, models(text)));
+	this.isApplied = this.table.apply(changesOf(false, since, revision, models(text)));
 });
 
 When('the changes from {int} to {int} delete {string}', function (this: TableWorld, since: number, revision: number, text: string) {
@@ -70,7 +70,7 @@
 });
 
 Then('the changes are rejected', function (this: TableWorld) {
-	assert.equal(this.taken, false);
+	assert.equal(this.isApplied, false);
 });
 
 Then('model {string} is at version {int} and was changed once', function (this: TableWorld, name: string, version: number) {
--- a/src/common/config-table.ts
+++ b/src/common/config-table.ts
@@ -50,7 +50,7 @@
 	readonly #batchListeners = new Set<() => void>();
 	#revision = 0;
 	#head = 0;
-	#deletionsKnownFrom = 0;
+	#deletionsCompleteFrom = 0;
 	#tombstones = 0;
 
 	/** @param check - Objects that it rejects are skipped; by default all are accepted. */
@@ -125,7 +125,7 @@
 
 		// A batch that is not newer brings nothing: every change up to this table's revision has been applied, has been superseded, or was a deletion that is no longer retained. Applying it object by object would restore objects whose deletions were discarded.
 		if (changes.revision > this.#revision) {
-			this.#putInForce(changes);
+			this.#applyBatch(changes);
 		}
 
 		return true;
@@ -134,7 +134,7 @@
 	/** Returns the changes that a peer at `since` lacks. */
 	changesSince(since: Revision, scope: ConfigScope = {}): ConfigChanges {
 		// The deletions before this node's first list, and those discarded since, are not in the table.
-		const full = since < this.#deletionsKnownFrom || since === 0;
+		const full = since < this.#deletionsCompleteFrom || since === 0;
 		const isWanted = (event: WatchEvent) => inScope(event, scope) && (full ? event.type === 'put' : event.version > since);
 		const events = !full && since >= this.#head ? [] : [...this.#entries.values()].filter(isWanted);
 		return {
@@ -142,13 +142,13 @@
 		};
 	}
 
-	#putInForce(changes: ConfigChanges) {
-		const oldRevision = this.#revision;
-		const events = [...changes.events, ...(changes.full ? this.#missingFrom(changes) : [])].filter(({version}) => version > oldRevision);
+	#applyBatch(changes: ConfigChanges) {
+		const previousRevision = this.#revision;
+		const events = [...changes.events, ...(changes.full ? this.#impliedDeletions(changes) : [])].filter(({version}) => version > previousRevision);
 		const changed = events.filter(event => this.#applyOne(event));
 		this.#revision = changes.revision;
 		this.#head = changed.reduce((newest, {version}) => Math.max(newest, version), Math.max(this.#head, changes.head));
-		this.#deletionsKnownFrom = changes.full ? changes.revision : this.#deletionsKnownFrom;
+		this.#deletionsCompleteFrom = changes.full ? changes.revision : this.#deletionsCompleteFrom;
 		changed.forEach(event => {
 			this.#listeners.forEach(listener => {
 				listener(event);
@@ -159,7 +159,7 @@
 		});
 	}
 
-	#missingFrom(changes: ConfigChanges): WatchEvent[] {
+	#impliedDeletions(changes: ConfigChanges): WatchEvent[] {
 		const present = new Set(changes.events.map(({kind, name}) => keyOf(kind, name)));
 		return [...this.#entries.values()]
 			.filter(({type, kind, name}) => type === 'put' && !present.has(keyOf(kind, name)))
@@ -170,8 +170,8 @@
 
 	#applyOne(event: WatchEvent): boolean {
 		const key = keyOf(event.kind, event.name);
-		const known = this.#entries.get(key);
-		if (known && known.version >= event.version) {
+		const existing = this.#entries.get(key);
+		if (existing && existing.version >= event.version) {
 			return false;
 		}
 
@@ -183,12 +183,12 @@
 		}
 
 		this.#entries.set(key, event);
-		this.#countTombstone(known, event);
+		this.#countTombstone(existing, event);
 		return true;
 	}
 
-	#countTombstone(known: WatchEvent | undefined, event: WatchEvent) {
-		this.#tombstones += (event.type === 'delete' ? 1 : 0) - (known?.type === 'delete' ? 1 : 0);
+	#countTombstone(existing: WatchEvent | undefined, event: WatchEvent) {
+		this.#tombstones += (event.type === 'delete' ? 1 : 0) - (existing?.type === 'delete' ? 1 : 0);
 		if (this.#tombstones <= maxTombstones) {
 			return;
 		}
@@ -198,7 +198,7 @@
 		deletions.slice(0, maxTombstones / 2).forEach(([oldKey, entry]) => {
 			this.#entries.delete(oldKey);
 			this.#tombstones -= 1;
-			this.#deletionsKnownFrom = Math.max(this.#deletionsKnownFrom, entry.version);
+			this.#deletionsCompleteFrom = Math.max(this.#deletionsCompleteFrom, entry.version);
 		});
 	}
 }
--- a/src/common/config-upstream.ts
+++ b/src/common/config-upstream.ts
@@ -55,9 +55,9 @@
 
 	const parent = ranked[Math.floor((rank - watchersPerDomain) / fanOut)]!;
 	const own = ranked.slice(0, watchersPerDomain);
-	const far = watchers.filter(watcher => !own.includes(watcher));
+	const remote = watchers.filter(watcher => !own.includes(watcher));
 	// A watcher of another failure domain comes second: when the links to the whole own domain are unresponsive, trying its nodes one after another would take too long.
-	return {isWatcher: false, upstreams: addressesOf(entries, [parent, ...far.slice(0, 1), ...own, ...far.slice(1)], self)};
+	return {isWatcher: false, upstreams: addressesOf(entries, [parent, ...remote.slice(0, 1), ...own, ...remote.slice(1)], self)};
 };
 
 /**
@@ -66,9 +66,9 @@
 @param entries - The live entry VMs.
 */
 export const upstreamsOfAgent = (entries: readonly VmEntry[], self: string, domain: string): readonly string[] => {
-	const near = entries.filter(({failureDomain}) => failureDomain === domain);
-	const far = entries.filter(({failureDomain}) => failureDomain !== domain);
+	const local = entries.filter(({failureDomain}) => failureDomain === domain);
+	const remote = entries.filter(({failureDomain}) => failureDomain !== domain);
 	// The first half of the round is in the own failure domain, the rest in others: the domain's entries may all be disconnected.
-	const names = [...rankMembers(self, namesOf(near)).slice(0, maxUpstreams / 2), ...rankMembers(self, namesOf(far))];
+	const names = [...rankMembers(self, namesOf(local)).slice(0, maxUpstreams / 2), ...rankMembers(self, namesOf(remote))];
 	return addressesOf(entries, names, self);
 };
--- a/src/common/fair-queue.ts
+++ b/src/common/fair-queue.ts
@@ -59,8 +59,8 @@
 	}
 
 	/** Takes the next item in fair order, among the first items of each account that satisfy the predicate, and charges its account. */
-	shift(fits?: (item: Item) => boolean): Item | undefined {
-		const lane = this.#lowest(fits);
+	shift(predicate?: (item: Item) => boolean): Item | undefined {
+		const lane = this.#lowest(predicate);
 		const item = lane?.items.shift();
 		if (!lane || !item) {
 			return undefined;
@@ -94,8 +94,8 @@
 	}
 
 	/** Removes all items that satisfy the predicate, in no particular order and without a charge. */
-	takeWhere(fits: (item: Item) => boolean): Item[] {
-		const taken = [...this.#waiting.values()].flatMap(lane => lane.items.filter(item => fits(item)));
+	takeWhere(predicate: (item: Item) => boolean): Item[] {
+		const taken = [...this.#waiting.values()].flatMap(lane => lane.items.filter(item => predicate(item)));
 		taken.forEach(item => {
 			this.remove(item);
 		});
@@ -104,12 +104,12 @@
 
 	/** The tokens that would be served before an item that arrives now: those of other accounts only as far as they are ahead in fair order. */
 	tokensAheadOf(item: QueueItem): number {
-		const own = this.#waiting.get(item.account);
-		const start = Math.max(own?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
-		const finish = start + ((own?.queuedTokens ?? 0) / item.share);
-		let tokens = own?.queuedTokens ?? 0;
+		const ownLane = this.#waiting.get(item.account);
+		const start = Math.max(ownLane?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
+		const finish = start + ((ownLane?.queuedTokens ?? 0) / item.share);
+		let tokens = ownLane?.queuedTokens ?? 0;
 		for (const lane of this.#waiting.values()) {
-			if (lane !== own) {
+			if (lane !== ownLane) {
 				tokens += Math.min(lane.queuedTokens, Math.max(0, (finish - lane.counter) * lane.share));
 			}
 		}
@@ -123,18 +123,18 @@
 	@returns The item to evict, still in the queue; undefined when the new item's own account would have the most.
 	*/
 	evictionCandidateFor(item: QueueItem): Item | undefined {
-		const own = this.#waiting.get(item.account);
-		let most = ((own?.queuedTokens ?? 0) + item.costTokens) / item.share;
-		let surplus: Lane<Item> | undefined;
+		const ownLane = this.#waiting.get(item.account);
+		let highestWeight = ((ownLane?.queuedTokens ?? 0) + item.costTokens) / item.share;
+		let heaviestLane: Lane<Item> | undefined;
 		for (const lane of this.#waiting.values()) {
 			const weight = lane.queuedTokens / lane.share;
-			if (lane !== own && weight > most) {
-				most = weight;
-				surplus = lane;
+			if (lane !== ownLane && weight > highestWeight) {
+				highestWeight = weight;
+				heaviestLane = lane;
 			}
 		}
 
-		return surplus?.items.at(-1);
+		return heaviestLane?.items.at(-1);
 	}
 
 	#count(lane: Lane<Item>, item: Item, sign: 1 | -1) {
@@ -145,7 +145,7 @@
 			this.#waiting.delete(item.account);
 			this.#lanes.splice(this.#lanes.indexOf(lane), 1);
 			this.#idle.set(item.account, lane);
-			this.#forgetIdle();
+			this.#trimIdle();
 		}
 	}
 
@@ -167,10 +167,10 @@
 		return lane;
 	}
 
-	#lowest(fits?: (item: Item) => boolean): Lane<Item> | undefined {
+	#lowest(predicate?: (item: Item) => boolean): Lane<Item> | undefined {
 		let best: Lane<Item> | undefined;
 		for (const lane of this.#lanes) {
-			if ((!best || lane.counter < best.counter) && (!fits || fits(lane.items[0]!))) {
+			if ((!best || lane.counter < best.counter) && (!predicate || predicate(lane.items[0]!))) {
 				best = lane;
 			}
 		}
@@ -178,7 +178,7 @@
 		return best;
 	}
 
-	#forgetIdle() {
+	#trimIdle() {
 		if (this.#idle.size > maxIdleLanes) {
 			const [oldest] = this.#idle.keys();
 			this.#idle.delete(oldest!);
--- a/src/common/field-validators.ts
+++ b/src/common/field-validators.ts
@@ -33,16 +33,16 @@
 export const isPositiveNumber: FieldValidator = value => Number.isFinite(value) && (value as number) > 0;
 
 /** An array whose elements are all valid. */
-export const listOf = (test: FieldValidator): FieldValidator => value => Array.isArray(value) && value.every(element => test(element));
+export const listOf = (validator: FieldValidator): FieldValidator => value => Array.isArray(value) && value.every(element => validator(element));
 
 /** Undefined, or a valid value. */
-export const optional = (test: FieldValidator): FieldValidator => value => value === undefined || test(value);
+export const optional = (validator: FieldValidator): FieldValidator => value => value === undefined || validator(value);
 
 /** One of these values. */
 export const oneOf = (...values: readonly unknown[]): FieldValidator => value => values.includes(value);
 
 /** The first field that its validator rejects; undefined when all are valid. */
-export const invalidField = (value: Readonly<Record<string, unknown>>, tests: FieldValidators): string | undefined => Object.keys(tests).find(field => !tests[field]!(value[field]));
+export const invalidField = (value: Readonly<Record<string, unknown>>, validators: FieldValidators): string | undefined => Object.keys(validators).find(field => !validators[field]!(value[field]));
 
 /** An object whose fields are all valid. */
-export const objectOf = (tests: FieldValidators): FieldValidator => value => isObject(value) && invalidField(value, tests) === undefined;
+export const objectOf = (validators: FieldValidators): FieldValidator => value => isObject(value) && invalidField(value, validators) === undefined;
--- a/src/common/fingerprint-set.ts
+++ b/src/common/fingerprint-set.ts
@@ -3,14 +3,14 @@
 */
 import {h64} from './xxhash.js';
 
-const firstSlots = 1024;
-const maxFill = 0.5;
+const initialSlots = 1024;
+const maxLoadFactor = 0.5;
 // Zero marks a free slot.
-const empty = 0n;
+const emptySlot = 0n;
 
 /** Open addressing over fingerprints. */
 export class FingerprintSet {
-	#slots = new BigUint64Array(firstSlots);
+	#slots = new BigUint64Array(initialSlots);
 	#size = 0;
 
 	/** Number of names in the set. */
@@ -24,17 +24,17 @@
 	@returns False when it is already in the set.
 	*/
 	add(name: string): boolean {
-		if (this.#size >= this.#slots.length * maxFill) {
+		if (this.#size >= this.#slots.length * maxLoadFactor) {
 			this.#grow();
 		}
 
 		const hash = h64(name);
-		return this.#insert(hash === empty ? 1n : hash);
+		return this.#insert(hash === emptySlot ? 1n : hash);
 	}
 
 	#insert(fingerprint: bigint): boolean {
 		let slot = Number(BigInt.asUintN(32, fingerprint)) % this.#slots.length;
-		while (this.#slots[slot] !== empty) {
+		while (this.#slots[slot] !== emptySlot) {
 			if (this.#slots[slot] === fingerprint) {
 				return false;
 			}
@@ -51,7 +51,7 @@
 		const old = this.#slots;
 		this.#slots = new BigUint64Array(old.length * 2);
 		this.#size = 0;
-		old.filter(fingerprint => fingerprint !== empty).forEach(fingerprint => {
+		old.filter(fingerprint => fingerprint !== emptySlot).forEach(fingerprint => {
 			this.#insert(fingerprint);
 		});
 	}
--- a/src/common/finished-choices.ts
+++ b/src/common/finished-choices.ts
@@ -9,17 +9,17 @@
 
 /** Tracks the choices for which an engine has sent a finish reason. */
 export class FinishedChoices {
-	readonly #wanted: number;
+	readonly #requested: number;
 	readonly #finished = new Set<number>();
 
-	/** @param wanted - See {@link requestedChoices}. */
-	constructor(wanted: number) {
-		this.#wanted = wanted;
+	/** @param requested - See {@link requestedChoices}. */
+	constructor(requested: number) {
+		this.#requested = requested;
 	}
 
 	/** True once every requested choice has a finish reason. */
 	get isComplete(): boolean {
-		return this.#finished.size >= this.#wanted;
+		return this.#finished.size >= this.#requested;
 	}
 
 	add(chunk: AnswerChunk): void {
--- a/src/common/job-order.ts
+++ b/src/common/job-order.ts
@@ -23,7 +23,7 @@
 export const isLate = ({dueAt, estimatedEndAt}: JobCandidate, now: number): boolean => now >= dueAt || (estimatedEndAt ?? 0) > dueAt;
 
 /** The job's weight at agents and in {@link selectJob}. */
-export const weightOf = (claim: JobCandidate, now: number): number => claim.share * (isLate(claim, now) ? lateFactor : 1);
+export const weightOf = (candidate: JobCandidate, now: number): number => candidate.share * (isLate(candidate, now) ? lateFactor : 1);
 
 /**
 Selects the job to serve next.
@@ -32,7 +32,7 @@
 @param itemsOf - Returns the number of an account's items in progress.
 @returns Undefined when there are no candidates.
 */
-export const selectJob = (claims: readonly JobCandidate[], itemsOf: (account: string) => number, now: number): JobCandidate | undefined => claims
-	.map(claim => ({claim, load: itemsOf(claim.account) / weightOf(claim, now)}))
-	.toSorted((a, b) => a.load - b.load || a.claim.dueAt - b.claim.dueAt || (a.claim.jobId < b.claim.jobId ? -1 : 1))
-	.at(0)?.claim;
+export const selectJob = (candidates: readonly JobCandidate[], itemsOf: (account: string) => number, now: number): JobCandidate | undefined => candidates
+	.map(candidate => ({candidate, load: itemsOf(candidate.account) / weightOf(candidate, now)}))
+	.toSorted((a, b) => a.load - b.load || a.candidate.dueAt - b.candidate.dueAt || (a.candidate.jobId < b.candidate.jobId ? -1 : 1))
+	.at(0)?.candidate;
--- a/src/common/job-run.ts
+++ b/src/common/job-run.ts
@@ -41,8 +41,8 @@
 const lossesBeforeIsolation = 2;
 const noCounts: Counts = {completed: 0, failed: 0};
 const sumOf = (counts: ReadonlyArray<Counts | undefined>): Counts => ({
-	completed: counts.reduce((sum, known) => sum + (known?.completed ?? 0), 0),
-	failed: counts.reduce((sum, known) => sum + (known?.failed ?? 0), 0),
+	completed: counts.reduce((sum, entry) => sum + (entry?.completed ?? 0), 0),
+	failed: counts.reduce((sum, entry) => sum + (entry?.failed ?? 0), 0),
 });
 
 /** One job at its coordinator. */
@@ -50,7 +50,7 @@
 	readonly jobId: JobId;
 	readonly file: FileRecord;
 	spec: BatchJobSpec;
-	readonly #base: Counts;
+	readonly #earlierTotals: Counts;
 	readonly #committed = new Map<number, Counts | undefined>();
 	readonly #granted = new Map<number, GrantedChunk>();
 	readonly #missing = new Map<number, MissingChunk>();
@@ -64,7 +64,7 @@
 		this.spec = start.spec;
 		this.file = start.file;
 		this.#startedAt = start.startedAt;
-		this.#base = start.counted ?? noCounts;
+		this.#earlierTotals = start.counted ?? noCounts;
 		this.#nextChunk = start.file.chunks.length - 1;
 		const counted = new Set(start.counted?.chunks);
 		start.committed.forEach(chunk => {
@@ -106,7 +106,7 @@
 
 	/** True when there is a chunk to grant. */
 	get hasGrantableChunk(): boolean {
-		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekFresh() >= 0;
+		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekUngranted() >= 0;
 	}
 
 	/** Committed chunks whose counts have not been read yet: their results were written under an earlier coordinator. */
@@ -124,7 +124,7 @@
 	The last chunks come first: chunks grow along a file, so the small ones remain for the end, when many agents share the few that are left.
 	*/
 	takeChunk(): {readonly chunk: number; readonly isolate: boolean} | undefined {
-		const chunk = this.#takeReturned() ?? this.#takeFresh();
+		const chunk = this.#takeReturned() ?? this.#takeUngranted();
 		return chunk === undefined ? undefined : {chunk, isolate: (this.#losses.get(chunk) ?? 0) >= lossesBeforeIsolation};
 	}
 
@@ -217,7 +217,7 @@
 	}
 
 	#committedCounts(): Counts {
-		return sumOf([this.#base, ...this.#committed.values()]);
+		return sumOf([this.#earlierTotals, ...this.#committed.values()]);
 	}
 
 	#counts(): Counts {
@@ -235,7 +235,7 @@
 		return index === -1 ? undefined : this.#returned.splice(0, index + 1).at(-1);
 	}
 
-	#peekFresh(): number {
+	#peekUngranted(): number {
 		while (this.#nextChunk >= 0 && (this.#committed.has(this.#nextChunk) || this.#granted.has(this.#nextChunk))) {
 			this.#nextChunk -= 1;
 		}
@@ -243,8 +243,8 @@
 		return this.#nextChunk;
 	}
 
-	#takeFresh(): number | undefined {
-		const chunk = this.#peekFresh();
+	#takeUngranted(): number | undefined {
+		const chunk = this.#peekUngranted();
 		if (chunk < 0) {
 			return undefined;
 		}
--- a/src/common/lease-client.steps.ts
+++ b/src/common/lease-client.steps.ts
@@ -9,29 +9,29 @@
 import {ManualClock} from './testing/manual-clock.js';
 import type {TestWorld} from './testing/test-world.js';
 
-type LeaseWorld = TestWorld & {clock: ManualClock; api: FakeObjectApi; keepers: LeaseClient[]; fenceBefore: number};
+type LeaseWorld = TestWorld & {clock: ManualClock; api: FakeObjectApi; clients: LeaseClient[]; fenceBefore: number};
 
 const ttlMs = 1000;
 const name = 'jobs-0';
 const handovers = 3;
 
-const keeperOf = (world: LeaseWorld, self: string) => new LeaseClient(world.api, world.clock, {name, self: branded(self), ttlMs});
+const clientOf = (world: LeaseWorld, self: string) => new LeaseClient(world.api, world.clock, {name, self: branded(self), ttlMs});
 
-const tendAll = async ({keepers}: LeaseWorld) => {
-	for (const [rank, keeper] of keepers.entries()) {
-		await keeper.acquireOrRenew(rank);
+const acquireOrRenewAll = async ({clients}: LeaseWorld) => {
+	for (const [rank, client] of clients.entries()) {
+		await client.acquireOrRenew(rank);
 	}
 };
 
 Given('two entries compete for a lease', async function (this: LeaseWorld) {
 	this.clock = new ManualClock();
 	this.api = new FakeObjectApi();
-	this.keepers = [keeperOf(this, 'entry-1'), keeperOf(this, 'entry-2')];
-	await tendAll(this);
+	this.clients = [clientOf(this, 'entry-1'), clientOf(this, 'entry-2')];
+	await acquireOrRenewAll(this);
 });
 
 Given('the first holds it', async function (this: LeaseWorld) {
-	const [first, second] = this.keepers as [LeaseClient, LeaseClient];
+	const [first, second] = this.clients as [LeaseClient, LeaseClient];
 	// Each change of the holder raises the fencing number.
 	for (let handover = 0; handover < handovers; handover += 1) {
 		await first.release();
@@ -46,37 +46,37 @@
 
 When('the lease\'s object is deleted and the first tries to renew it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
-	await this.keepers[0]!.acquireOrRenew(0);
+	await this.clients[0]!.acquireOrRenew(0);
 });
 
 When('the lease\'s object is deleted and a new entry tries to acquire it', async function (this: LeaseWorld) {
 	await this.api.remove('Lease', name);
-	const late = keeperOf(this, 'entry-3');
-	await late.acquireOrRenew(0);
-	this.keepers = [late];
+	const newcomer = clientOf(this, 'entry-3');
+	await newcomer.acquireOrRenew(0);
+	this.clients = [newcomer];
 });
 
 When('both try to acquire it before a lease\'s duration has passed', async function (this: LeaseWorld) {
-	await tendAll(this);
+	await acquireOrRenewAll(this);
 	this.clock.advance(ttlMs - 1);
-	await tendAll(this);
+	await acquireOrRenewAll(this);
 });
 
 When('both try to acquire it after a lease\'s duration has passed', async function (this: LeaseWorld) {
 	this.clock.advance(1);
-	await tendAll(this);
+	await acquireOrRenewAll(this);
 });
 
 Then('neither holds it', function (this: LeaseWorld) {
-	assert.ok(this.keepers.every(({isHeld}) => !isHeld));
+	assert.ok(this.clients.every(({isHeld}) => !isHeld));
 });
 
 Then('one holds it, with a higher fencing number', function (this: LeaseWorld) {
-	const holders = this.keepers.filter(({isHeld}) => isHeld);
+	const holders = this.clients.filter(({isHeld}) => isHeld);
 	assert.equal(holders.length, 1);
 	assert.ok(holders[0]!.fence > this.fenceBefore);
 });
 
 Then('the new entry\'s fencing number is higher', function (this: LeaseWorld) {
-	assert.ok(this.keepers[0]!.fence > this.fenceBefore);
+	assert.ok(this.clients[0]!.fence > this.fenceBefore);
 });
--- a/src/common/lease-client.ts
+++ b/src/common/lease-client.ts
@@ -21,7 +21,7 @@
 };
 
 // Share of the lease's duration by which the holder stops acting early, since clocks run at slightly different speeds.
-const safetyShare = 0.1;
+const safetyMarginShare = 0.1;
 
 /** Client of one lease. */
 export class LeaseClient {
@@ -67,7 +67,7 @@
 	*/
 	async acquireOrRenew(rank: number): Promise<void> {
 		if (!this.isHeld) {
-			await this.#look();
+			await this.#read();
 		}
 
 		const {self, ttlMs} = this.#options;
@@ -77,14 +77,14 @@
 		}
 
 		const now = this.#clock.now();
-		const question: LeaseRequest = {
+		const request: LeaseRequest = {
 			view: this.#view, self, rank, ttlMs, now, ...(highestFence !== undefined && {highestFence}),
 		};
-		const decision = decideLease(question);
+		const decision = decideLease(request);
 		this.#options.trace?.write({
-			kind: 'lease', name: this.#options.name, question, decision,
+			kind: 'lease', name: this.#options.name, question: request, decision,
 		});
-		await this.#carryOut(decision, now);
+		await this.#execute(decision, now);
 	}
 
 	/** Releases the lease, so that the next holder need not wait for it to expire. */
@@ -99,14 +99,14 @@
 		await this.#api.update<LeaseValue>('Lease', this.#options.name, {...value, holder: ''}, version);
 	}
 
-	async #look() {
+	async #read() {
 		const read = await this.#api.get<LeaseValue>('Lease', this.#options.name);
 		read
 			.ifRight(stored => {
-				this.#see(stored);
+				this.#observe(stored);
 			})
 			.ifLeft(err => {
-				this.#noteGone(err);
+				this.#handleDeleted(err);
 			});
 	}
 
@@ -117,7 +117,7 @@
 	}
 
 	// The lease was deleted by an operator, or was lost in a restore. With the old view, every renewal would fail, and no process would ever take the lease again.
-	#noteGone(err: ApiError) {
+	#handleDeleted(err: ApiError) {
 		if (err.kind !== 'notFound' || !this.#view.value) {
 			return;
 		}
@@ -128,13 +128,13 @@
 		};
 	}
 
-	#see({value, version}: {value: LeaseValue; version: Revision}) {
+	#observe({value, version}: {value: LeaseValue; version: Revision}) {
 		if (version !== this.#view.version) {
 			this.#view = {value, version, seenAt: this.#clock.now()};
 		}
 	}
 
-	async #carryOut(decision: LeaseDecision, sentAt: number) {
+	async #execute(decision: LeaseDecision, sentAt: number) {
 		if (decision.kind === 'wait') {
 			return;
 		}
@@ -144,8 +144,8 @@
 			: await this.#api.update('Lease', this.#options.name, decision.value, decision.version);
 		written
 			.ifRight(stored => {
-				this.#see(stored);
-				this.#heldUntil = sentAt + (this.#options.ttlMs * (1 - safetyShare));
+				this.#observe(stored);
+				this.#heldUntil = sentAt + (this.#options.ttlMs * (1 - safetyMarginShare));
 			})
 			.ifLeft(err => {
 				this.#failed(err);
@@ -154,14 +154,14 @@
 
 	// After a conflict another process wrote; after an unknown outcome it may have been this one. The next read resolves both; until then the deadline of the earlier renewal applies.
 	#failed(err: ApiError) {
-		this.#noteGone(err);
+		this.#handleDeleted(err);
 		if (err.kind !== 'conflict') {
 			return;
 		}
 
 		const current = err.current as StoredObject<LeaseValue> | undefined;
 		if (current) {
-			this.#see(current);
+			this.#observe(current);
 		}
 
 		if (current?.value.holder !== this.#options.self) {
--- a/src/common/lease.ts
+++ b/src/common/lease.ts
@@ -49,16 +49,16 @@
 
 const isFree = ({view, rank, ttlMs, now}: LeaseRequest): boolean => {
 	const age = now - view.seenAt;
-	const patience = rank * ttlMs;
-	return view.value?.holder === '' ? age >= patience : age >= (view.value?.ttlMs ?? ttlMs) + patience;
+	const rankDelayMs = rank * ttlMs;
+	return view.value?.holder === '' ? age >= rankDelayMs : age >= (view.value?.ttlMs ?? ttlMs) + rankDelayMs;
 };
 
 /** Decides what to write at one moment. */
-export const decideLease = (question: LeaseRequest): LeaseDecision => {
-	const {view, self, rank, ttlMs, now, highestFence = 0} = question;
+export const decideLease = (request: LeaseRequest): LeaseDecision => {
+	const {view, self, rank, ttlMs, now, highestFence = 0} = request;
 	if (!view.value || view.version === undefined) {
-		const patience = (rank + (view.isDeleted ? 1 : 0)) * ttlMs;
-		return now - view.seenAt >= patience ? {kind: 'create', value: {holder: self, fence: (highestFence + 1) as Fence, ttlMs}} : wait;
+		const rankDelayMs = (rank + (view.isDeleted ? 1 : 0)) * ttlMs;
+		return now - view.seenAt >= rankDelayMs ? {kind: 'create', value: {holder: self, fence: (highestFence + 1) as Fence, ttlMs}} : wait;
 	}
 
 	if (view.value.holder === self) {
@@ -66,5 +66,5 @@
 	}
 
 	const next: LeaseValue = {holder: self, fence: (view.value.fence + 1) as Fence, ttlMs};
-	return isFree(question) ? {kind: 'update', value: next, version: view.version} : wait;
+	return isFree(request) ? {kind: 'update', value: next, version: view.version} : wait;
 };
--- a/src/common/long-prompts.ts
+++ b/src/common/long-prompts.ts
@@ -12,7 +12,7 @@
 /** The long prompts of one agent. */
 export class LongPrompts<Item extends LongPrompt> {
 	readonly #clock: Clock;
-	readonly #until = new Map<string, number>();
+	readonly #yieldUntil = new Map<string, number>();
 	#held: Item[] = [];
 
 	constructor(clock: Clock) {
@@ -26,9 +26,9 @@
 
 	/** True while the item has to yield to online work. The first call starts its yield period. */
 	shouldYield({key}: Item): boolean {
-		const until = this.#until.get(key) ?? this.#clock.now() + yieldPeriodMs;
-		this.#until.set(key, until);
-		return this.#clock.now() < until;
+		const yieldUntil = this.#yieldUntil.get(key) ?? this.#clock.now() + yieldPeriodMs;
+		this.#yieldUntil.set(key, yieldUntil);
+		return this.#clock.now() < yieldUntil;
 	}
 
 	/** Holds an item back. */
@@ -42,9 +42,9 @@
 			return [];
 		}
 
-		const staying = isOnlinePresent ? this.#held.filter(item => this.shouldYield(item)) : [];
-		const released = this.#held.filter(item => !staying.includes(item));
-		this.#held = staying;
+		const stillHeld = isOnlinePresent ? this.#held.filter(item => this.shouldYield(item)) : [];
+		const released = this.#held.filter(item => !stillHeld.includes(item));
+		this.#held = stillHeld;
 		return released;
 	}
 
@@ -57,6 +57,6 @@
 
 	/** Discards the yield period of an item that has ended. */
 	clearYieldDeadline(key: string): void {
-		this.#until.delete(key);
+		this.#yieldUntil.delete(key);
 	}
 }
--- a/src/common/message-validators.ts
+++ b/src/common/message-validators.ts
@@ -7,7 +7,7 @@
 
 const attemptKey = objectOf({id: isNonEmptyString, attempt: isNonNegativeInteger});
 const chunkKey = objectOf({jobId: isNonEmptyString, chunk: isNonNegativeInteger});
-const areCounts = listOf(objectOf({version: isNonNegativeInteger, nodes: isNonNegativeInteger}));
+const areInForceCounts = listOf(objectOf({version: isNonNegativeInteger, nodes: isNonNegativeInteger}));
 
 const areFailedRuns = listOf(objectOf({run: isNonEmptyString, item: isNonEmptyString, replica: isNonEmptyString}));
 
@@ -22,7 +22,7 @@
 /** Validators of all methods between nodes that take parameters. */
 export const messageValidators: Readonly<Record<string, FieldValidator>> = {
 	'config.changes': objectOf({
-		node: isNonEmptyString, since: isNonNegativeInteger, waitMs: isNonNegativeNumber, scope: optional(objectOf({kinds: optional(listOf(isNonEmptyString)), name: optional(isNonEmptyString)})), counts: optional(areCounts), wantsDigest: optional(isBoolean),
+		node: isNonEmptyString, since: isNonNegativeInteger, waitMs: isNonNegativeNumber, scope: optional(objectOf({kinds: optional(listOf(isNonEmptyString)), name: optional(isNonEmptyString)})), counts: optional(areInForceCounts), wantsDigest: optional(isBoolean),
 	}),
 	'config.counts': optional(isObject),
 	'gateway.holdJob': objectOf({record: isObject, content: isObject}),
--- a/src/common/placement-policy.ts
+++ b/src/common/placement-policy.ts
@@ -56,7 +56,7 @@
 
 const modelIn = (models: readonly PlacedModel[] | undefined, name: string) => models?.find(({model}) => model === name);
 const isVersion = (model: PlacedModel | undefined, wanted: PlacedModel) => model?.version === wanted.version && model.adapter === wanted.adapter;
-const bare = ({model, version, adapter}: PlacedModel): PlacedModel => ({model, version, ...(adapter !== undefined && {adapter})});
+const placedModelOf = ({model, version, adapter}: PlacedModel): PlacedModel => ({model, version, ...(adapter !== undefined && {adapter})});
 
 /** Number of loads in progress: assigned, but not loaded yet. */
 const loadsUnderWay = (servers: readonly PlacementServer[]) => servers
@@ -87,23 +87,23 @@
 	const {chosen, left} = chooseServers(wanted, candidates, target);
 	const isReady = ({loaded}: PlacementServer) => modelIn(loaded, wanted.model) !== undefined;
 	const isChanging = ({assigned, loaded}: PlacementServer) => isVersion(modelIn(assigned, wanted.model), wanted) && !isVersion(modelIn(loaded, wanted.model), wanted);
-	let mayMiss = chosen.filter(server => isReady(server) && !isChanging(server)).length - minReady;
+	let allowedMissing = chosen.filter(server => isReady(server) && !isChanging(server)).length - minReady;
 	let loads = spareLoads;
 	const versions = new Map(chosen.map((server): [string, PlacedModel | undefined] => {
 		const current = modelIn(server.assigned, wanted.model) ?? modelIn(server.loaded, wanted.model);
 		if (isVersion(current, wanted) && current) {
-			return [server.vm, bare(wanted)];
+			return [server.vm, placedModelOf(wanted)];
 		}
 
 		// An engine that changes its version may not answer meanwhile, so it counts as missing.
 		const missing = isReady(server) ? 1 : 0;
-		if (loads <= 0 || (isReady(server) && mayMiss < 1)) {
-			return [server.vm, current && bare(current)];
+		if (loads <= 0 || (isReady(server) && allowedMissing < 1)) {
+			return [server.vm, current && placedModelOf(current)];
 		}
 
 		loads -= 1;
-		mayMiss -= missing;
-		return [server.vm, bare(wanted)];
+		allowedMissing -= missing;
+		return [server.vm, placedModelOf(wanted)];
 	}).filter((row): row is [string, PlacedModel] => row[1] !== undefined));
 	const ready = chosen.filter(server => isReady(server)).length;
 	return {
@@ -130,11 +130,11 @@
 	let spareLoads = maxLoads - loadsUnderWay(servers);
 	const plans = wanted.map(model => {
 		const plan = planModel(model, servers, spareLoads);
-		const begun = servers.filter(({vm, assigned, loaded}) => {
+		const startedLoads = servers.filter(({vm, assigned, loaded}) => {
 			const next = plan.versions.get(vm);
 			return next && !isVersion(modelIn(assigned, model.model), next) && !isVersion(modelIn(loaded, model.model), next);
 		});
-		spareLoads -= begun.length;
+		spareLoads -= startedLoads.length;
 		return plan;
 	});
 	const choices = servers.map(({vm, allowed}): PlacementChoice => ({
--- a/src/common/prefix-index.ts
+++ b/src/common/prefix-index.ts
@@ -15,11 +15,11 @@
 	readonly stored?: readonly BlockHash[];
 };
 
-type Known = {seq: number; readonly blocks: Set<BlockHash>};
+type ReplicaBlocks = {seq: number; readonly blocks: Set<BlockHash>};
 
 /** Block hashes by replica, bounded for each. */
 export class PrefixIndex {
-	readonly #known = new Map<VmName, Known>();
+	readonly #byReplica = new Map<VmName, ReplicaBlocks>();
 	readonly #maxBlocks: number;
 
 	/** @param maxBlocks - Blocks stored per replica; the oldest are removed first. A block takes about 100 bytes. */
@@ -29,44 +29,44 @@
 
 	/** The sequence number up to which a replica's drops were received; 0 for a replica without any record. */
 	seqOf(vm: VmName): number {
-		return this.#known.get(vm)?.seq ?? 0;
+		return this.#byReplica.get(vm)?.seq ?? 0;
 	}
 
 	/** Adds blocks that the replica held at sequence number `seq`. */
 	confirmed(vm: VmName, blocks: readonly BlockHash[], seq: number): void {
-		const known = this.#known.get(vm) ?? {seq, blocks: new Set<BlockHash>()};
-		this.#known.set(vm, known);
+		const record = this.#byReplica.get(vm) ?? {seq, blocks: new Set<BlockHash>()};
+		this.#byReplica.set(vm, record);
 		// The confirmation is older than drops already received, and its blocks may be among them.
-		if (seq < known.seq) {
+		if (seq < record.seq) {
 			return;
 		}
 
-		this.#add(known, blocks);
+		this.#add(record, blocks);
 	}
 
 	/** Applies drops; removes all of the replica's blocks when drops are missing between those received before and these. */
 	dropped(vm: VmName, drops: CacheDrops): void {
-		const known = this.#known.get(vm) ?? {seq: drops.from, blocks: new Set<BlockHash>()};
-		this.#known.set(vm, known);
-		if (drops.from > known.seq || drops.to < known.seq) {
-			known.blocks.clear();
+		const record = this.#byReplica.get(vm) ?? {seq: drops.from, blocks: new Set<BlockHash>()};
+		this.#byReplica.set(vm, record);
+		if (drops.from > record.seq || drops.to < record.seq) {
+			record.blocks.clear();
 		}
 
 		drops.blocks.forEach(block => {
-			known.blocks.delete(block);
+			record.blocks.delete(block);
 		});
-		known.seq = drops.to;
-		this.#add(known, drops.stored ?? []);
+		record.seq = drops.to;
+		this.#add(record, drops.stored ?? []);
 	}
 
 	/** Removes a replica, for instance when its process was restarted. */
 	removeReplica(vm: VmName): void {
-		this.#known.delete(vm);
+		this.#byReplica.delete(vm);
 	}
 
 	/** The tokens at the start of a prompt that the replica is known to hold. A block's hash covers all text before it and engines drop a prompt's end first, so the last indexed block implies those before it. */
 	cachedTokens(vm: VmName, prompt: readonly BlockHash[]): number {
-		const blocks = this.#known.get(vm)?.blocks;
+		const blocks = this.#byReplica.get(vm)?.blocks;
 		if (!blocks) {
 			return 0;
 		}
@@ -74,15 +74,15 @@
 		return (prompt.findLastIndex(block => blocks.has(block)) + 1) * tokensPerBlock;
 	}
 
-	#add(known: Known, blocks: readonly BlockHash[]) {
+	#add(record: ReplicaBlocks, blocks: readonly BlockHash[]) {
 		blocks.forEach(block => {
-			known.blocks.delete(block);
-			known.blocks.add(block);
+			record.blocks.delete(block);
+			record.blocks.add(block);
 		});
-		this.#trim(known);
+		this.#trim(record);
 	}
 
-	#trim({blocks}: Known) {
+	#trim({blocks}: ReplicaBlocks) {
 		const excess = blocks.size - this.#maxBlocks;
 		if (excess > 0) {
 			[...blocks].slice(0, excess).forEach(block => {
--- a/src/common/replay.steps.ts
+++ b/src/common/replay.steps.ts
@@ -35,7 +35,7 @@
 };
 
 // Repeats the rule of the code under test, so that a fault in that rule is detected.
-const mustNotServe = (replica: ReplicaView, {target, now, silentMs}: RouteRecord['view']) => replica.leaving
+const isUnsuitable = (replica: ReplicaView, {target, now, silentMs}: RouteRecord['view']) => replica.leaving
 	|| replica.load?.draining !== false
 	|| !replica.load.serves.includes(target)
 	|| now - replica.heardAt > silentMs;
@@ -43,7 +43,7 @@
 const chosenOf = (world: ReplayWorld) => world.routes.flatMap(({record, question, choice}) => choice ? [{record, question, choice}] : []);
 
 // True when the decision takes the lease from another holder, or after a release.
-const changesHands = ({question, decision}: LeaseRecord) => decision.kind === 'update' && question.view.value?.holder !== question.self;
+const changesHolder = ({question, decision}: LeaseRecord) => decision.kind === 'update' && question.view.value?.holder !== question.self;
 
 When('the recorded routing decisions are replayed', function (this: ReplayWorld) {
 	this.routes = readTrace<RouteRecord>('route').map(record => replay(record));
@@ -85,7 +85,7 @@
 
 Then('none chooses a replica that is leaving, draining, unresponsive or does not serve the target', function (this: ReplayWorld) {
 	chosenOf(this).forEach(({record, choice}) => {
-		assert.ok(!mustNotServe(choice.chosen, record.view), `${record.id} went to ${choice.chosen.vm}`);
+		assert.ok(!isUnsuitable(choice.chosen, record.view), `${record.id} went to ${choice.chosen.vm}`);
 	});
 });
 
@@ -110,13 +110,13 @@
 });
 
 Then('some lease changes its holder', function (this: ReplayWorld) {
-	assert.ok(this.leases.some(record => changesHands(record)));
+	assert.ok(this.leases.some(record => changesHolder(record)));
 });
 
 Then('none takes a lease that another holder may still act under', function (this: ReplayWorld) {
-	this.leases.filter(record => changesHands(record)).forEach(({name, question: {view, now}}) => {
-		const isGivenBack = view.value!.holder === '';
-		assert.ok(isGivenBack || now - view.seenAt >= view.value!.ttlMs, name);
+	this.leases.filter(record => changesHolder(record)).forEach(({name, question: {view, now}}) => {
+		const isReleased = view.value!.holder === '';
+		assert.ok(isReleased || now - view.seenAt >= view.value!.ttlMs, name);
 	});
 });
 
@@ -124,7 +124,7 @@
 	this.leases.forEach(record => {
 		const {question, decision, name} = record;
 		if (decision.kind === 'update') {
-			assert.equal(decision.value.fence, question.view.value!.fence + (changesHands(record) ? 1 : 0), name);
+			assert.equal(decision.value.fence, question.view.value!.fence + (changesHolder(record) ? 1 : 0), name);
 		}
 	});
 });
--- a/src/common/replica-table.ts
+++ b/src/common/replica-table.ts
@@ -46,7 +46,7 @@
 };
 
 // The list lags and may omit a VM once; a replica without requests in progress is removed only after this many lists without it.
-const missesBeforeDrop = 2;
+const missesBeforeRemoval = 2;
 /** While all replicas are unresponsive, the report timeout is multiplied by this factor; after that this process is considered disconnected, and refuses at once. */
 export const allUnresponsiveFactor = 3;
 
@@ -60,7 +60,7 @@
 	&& load.serves.includes(target)
 	&& now - heardAt <= silentMs;
 
-const isOvertaken = (load: LoadReport, known: LoadReport | undefined): boolean => known?.incarnation === load.incarnation && known.at > load.at;
+const isOutdated = (load: LoadReport, current: LoadReport | undefined): boolean => current?.incarnation === load.incarnation && current.at > load.at;
 
 /** The replicas, by VM. */
 export class ReplicaTable {
@@ -99,7 +99,7 @@
 			row.missed += 1;
 			// It gets no new work from the first list on that omits it.
 			row.leaving = true;
-			if (row.missed >= missesBeforeDrop && row.ownInFlight === 0) {
+			if (row.missed >= missesBeforeRemoval && row.ownInFlight === 0) {
 				this.#rows.delete(row.vm);
 				this.prefixes.removeReplica(row.vm);
 			}
@@ -109,12 +109,12 @@
 	/** Applies a report, received by any channel. One that is older than the last report only shows that the replica is responsive. */
 	applyReport(vm: VmName, load: LoadReport): void {
 		const row = this.#rows.get(vm);
-		if (row && isOvertaken(load, row.load)) {
+		if (row && isOutdated(load, row.load)) {
 			row.heardAt = this.#clock.now();
 			row.failures = 0;
 		} else if (row) {
-			this.#noteCache(row, load);
-			this.#noteServes(row, load);
+			this.#applyCacheChanges(row, load);
+			this.#trackStoppedTargets(row, load);
 			row.load = load;
 			row.heardAt = this.#clock.now();
 			row.ownTokensSince = 0;
@@ -164,8 +164,8 @@
 	*/
 	effectiveReportTimeoutMs(now = this.#clock.now()): number {
 		const rows = [...this.#rows.values()];
-		const hearsNone = rows.length > 1 && rows.every(({heardAt}) => now - heardAt > this.silentMs);
-		return hearsNone ? allUnresponsiveFactor * this.silentMs : this.silentMs;
+		const areAllUnresponsive = rows.length > 1 && rows.every(({heardAt}) => now - heardAt > this.silentMs);
+		return areAllUnresponsive ? allUnresponsiveFactor * this.silentMs : this.silentMs;
 	}
 
 	/** The replicas that may get new work for `target`, for instance `model:tyre-scribe`. */
@@ -188,13 +188,13 @@
 	/** See {@link TargetAvailability}. */
 	availabilityOf(target: string, now = this.#clock.now()): TargetAvailability {
 		const serving = [...this.#rows.values()].filter(({load}) => load?.serves.includes(target)).toSorted((a, b) => b.heardAt - a.heardAt);
-		const [youngest] = serving;
+		const [newest] = serving;
 		return {
-			replicas: this.#rows.size, serving: serving.length, heardMs: youngest && Math.round(now - youngest.heardAt), lastFailure: youngest?.lastFailure,
+			replicas: this.#rows.size, serving: serving.length, heardMs: newest && Math.round(now - newest.heardAt), lastFailure: newest?.lastFailure,
 		};
 	}
 
-	#noteCache(row: Row, load: LoadReport) {
+	#applyCacheChanges(row: Row, load: LoadReport) {
 		if (row.load && row.load.incarnation !== load.incarnation) {
 			this.prefixes.removeReplica(row.vm);
 		}
@@ -204,9 +204,9 @@
 		}
 	}
 
-	#noteServes({load: known, stoppedServingAt}: Row, load: LoadReport) {
+	#trackStoppedTargets({load: current, stoppedServingAt}: Row, load: LoadReport) {
 		const now = this.#clock.now();
-		known?.serves.filter(target => !load.serves.includes(target)).forEach(target => {
+		current?.serves.filter(target => !load.serves.includes(target)).forEach(target => {
 			stoppedServingAt.set(target, now);
 		});
 		load.serves.forEach(target => {
@@ -215,10 +215,10 @@
 	}
 
 	#applyVm(vm: VmEntry) {
-		const known = this.#rows.get(vm.name);
-		const isSame = known?.address === vm.address;
-		const row: Row = known && isSame
-			? known
+		const current = this.#rows.get(vm.name);
+		const isSame = current?.address === vm.address;
+		const row: Row = current && isSame
+			? current
 			: {
 				vm: vm.name,
 				address: vm.address,
--- a/src/common/request-ledger.ts
+++ b/src/common/request-ledger.ts
@@ -93,13 +93,13 @@
 	@returns `revoked` when it must not run.
 	*/
 	begin(attempt: IssuedAttempt, deadlineInMs: number): BeginOutcome {
-		const known = this.#entries.get(nameOf(attempt));
-		if (known) {
-			return known.state === 'revoked' ? 'revoked' : 'known';
+		const existing = this.#entries.get(nameOf(attempt));
+		if (existing) {
+			return existing.state === 'revoked' ? 'revoked' : 'known';
 		}
 
 		// A request can stay in the buffers of an unresponsive connection for many minutes and arrive after its revocation was removed.
-		if (this.#isBeyondMemory(attempt)) {
+		if (this.#isBeyondRetention(attempt)) {
 			return 'revoked';
 		}
 
@@ -170,9 +170,9 @@
 		}
 
 		entry.readers ??= new Map();
-		const earlier = entry.readers.get(reader.name);
+		const previousReader = entry.readers.get(reader.name);
 		entry.readers.set(reader.name, reader);
-		earlier?.replaced();
+		previousReader?.replaced();
 		return true;
 	}
 
@@ -203,12 +203,12 @@
 	@param deadlineInMs - Milliseconds until the attempt's deadline.
 	*/
 	revoke(attempt: IssuedAttempt, deadlineInMs: number): LedgerAnswer {
-		const known = this.#entries.get(nameOf(attempt));
-		if (known && known.state !== 'queued') {
-			return {state: known.state, incarnation: this.#incarnation};
+		const existing = this.#entries.get(nameOf(attempt));
+		if (existing && existing.state !== 'queued') {
+			return {state: existing.state, incarnation: this.#incarnation};
 		}
 
-		if (!known && this.#isBeyondMemory(attempt)) {
+		if (!existing && this.#isBeyondRetention(attempt)) {
 			return {state: 'unknown', incarnation: this.#incarnation};
 		}
 
@@ -238,7 +238,7 @@
 		});
 	}
 
-	#isBeyondMemory({issuedAt}: IssuedAttempt): boolean {
+	#isBeyondRetention({issuedAt}: IssuedAttempt): boolean {
 		return issuedAt <= this.#clock.now() - ledgerRetentionMs;
 	}
 
--- a/src/common/resource-check.ts
+++ b/src/common/resource-check.ts
@@ -6,15 +6,15 @@
 } from './field-validators.js';
 import type {ObjectKind} from './types.js';
 
-const areTexts = listOf(isNonEmptyString);
+const areNonEmptyStrings = listOf(isNonEmptyString);
 
-const specTests: Partial<Record<ObjectKind, FieldValidators>> = {
+const specValidators: Partial<Record<ObjectKind, FieldValidators>> = {
 	ServedModel: {version: isNonEmptyString, replicas: optional(isNonNegativeInteger), minReady: optional(isNonNegativeInteger)},
 	ModelVersion: {weights: isNonEmptyString, adapter: optional(isNonEmptyString), bytes: optional(isNonNegativeInteger)},
-	OnlineService: {idempotentMethods: optional(areTexts), timeoutMs: optional(isPositiveNumber)},
-	ClientAccount: {keySha256: areTexts, share: optional(isPositiveNumber), maxInFlight: optional(isNonNegativeInteger)},
+	OnlineService: {idempotentMethods: optional(areNonEmptyStrings), timeoutMs: optional(isPositiveNumber)},
+	ClientAccount: {keySha256: areNonEmptyStrings, share: optional(isPositiveNumber), maxInFlight: optional(isNonNegativeInteger)},
 	BackendServer: {
-		type: oneOf('engine', 'service'), models: optional(areTexts), service: optional(isNonEmptyString), checksFence: optional(isBoolean),
+		type: oneOf('engine', 'service'), models: optional(areNonEmptyStrings), service: optional(isNonEmptyString), checksFence: optional(isBoolean),
 	},
 	BatchJob: {
 		account: isNonEmptyString, jobKey: isNonEmptyString, inputFileId: isNonEmptyString, endpoint: isNonEmptyString, dueTime: isTimestamp, createdTime: isTimestamp, cancelled: optional(isBoolean),
@@ -27,8 +27,8 @@
 @returns A description of the fault; undefined when the value is well formed, or of a kind that only the system itself writes.
 */
 export const resourceFault = (kind: ObjectKind, name: string, value: unknown): string | undefined => {
-	const tests = specTests[kind];
-	if (!tests) {
+	const validators = specValidators[kind];
+	if (!validators) {
 		return undefined;
 	}
 
@@ -40,6 +40,6 @@
 		return 'metadata.name differs from the object\'s name';
 	}
 
-	const wrong = invalidField(value.spec, tests);
-	return wrong && `spec.${wrong} is missing or malformed`;
+	const invalid = invalidField(value.spec, validators);
+	return invalid && `spec.${invalid} is missing or malformed`;
 };
--- a/src/common/route-policy.ts
+++ b/src/common/route-policy.ts
@@ -52,26 +52,26 @@
 // Requests beyond the share of the backend server's slots up to which lagging views may fill it by mistake.
 const crowdingOf = ({load}: ReplicaView) => load ? Math.max(0, load.running + load.queued - (load.maxRunning * uncrowdedShare)) : 0;
 
-const scoreOf = (replica: ReplicaView, question: RouteCriteria, weights: RouteWeights) => {
+const scoreOf = (replica: ReplicaView, criteria: RouteCriteria, weights: RouteWeights) => {
 	const {load} = replica;
-	const ahead = (load?.pendingTokens ?? 0) + replica.ownTokensSince;
-	const own = question.costTokens - ((question.cachedTokens?.(replica.vm) ?? 0) * weights.perCachedToken);
+	const tokensAhead = (load?.pendingTokens ?? 0) + replica.ownTokensSince;
+	const ownTokens = criteria.costTokens - ((criteria.cachedTokens?.(replica.vm) ?? 0) * weights.perCachedToken);
 	const batch = (load?.batchRunning ?? 0) * weights.perBatchItem;
 	const crowding = crowdingOf(replica) * weights.perCrowdedRequest;
-	const isElsewhere = question.failureDomain !== undefined && question.failureDomain !== replica.failureDomain;
-	return ahead + own + batch + crowding + (isElsewhere ? weights.otherDomain : 0);
+	const isElsewhere = criteria.failureDomain !== undefined && criteria.failureDomain !== replica.failureDomain;
+	return tokensAhead + ownTokens + batch + crowding + (isElsewhere ? weights.otherDomain : 0);
 };
 
 /**
 @param random - Breaks ties, so that many entries with the same view do not all choose the same replica.
 @returns The choice, or undefined when there is no replica.
 */
-export const chooseReplica = (question: RouteCriteria, random: RandomSource): RouteChoice | undefined => {
-	const weights = {...defaultWeights, ...question.weights};
-	const untried = question.replicas.filter(replica => !question.tried.has(replica.vm));
-	const candidates = untried.length > 0 ? untried : question.replicas;
+export const chooseReplica = (criteria: RouteCriteria, random: RandomSource): RouteChoice | undefined => {
+	const weights = {...defaultWeights, ...criteria.weights};
+	const untried = criteria.replicas.filter(replica => !criteria.tried.has(replica.vm));
+	const candidates = untried.length > 0 ? untried : criteria.replicas;
 	const [best, ...others] = candidates
-		.map(replica => ({replica, score: scoreOf(replica, question, weights), tie: random.next()}))
+		.map(replica => ({replica, score: scoreOf(replica, criteria, weights), tie: random.next()}))
 		.toSorted((a, b) => a.score - b.score || a.tie - b.tie);
 	return best && {
 		chosen: best.replica,
--- a/src/common/route-record.ts
+++ b/src/common/route-record.ts
@@ -69,16 +69,16 @@
 const loadDigests = new WeakMap<LoadReport, string>();
 
 const loadDigest = (load: LoadReport): string => {
-	const known = loadDigests.get(load) ?? h64ToString(JSON.stringify(load));
-	loadDigests.set(load, known);
-	return known;
+	const cached = loadDigests.get(load) ?? h64ToString(JSON.stringify(load));
+	loadDigests.set(load, cached);
+	return cached;
 };
 
 const replicaText = ({load, ...row}: ReplicaView): string => `${Object.values(row).join(' ')} ${load ? loadDigest(load) : ''}`;
 
 /** Returns a hash of all inputs of a choice, as 16 hexadecimal digits. */
-export const routeDigest = (question: RouteCriteria, draws: readonly number[]): string => h64ToString([
-	JSON.stringify(recordedCriteria(question)),
+export const routeDigest = (criteria: RouteCriteria, draws: readonly number[]): string => h64ToString([
+	JSON.stringify(recordedCriteria(criteria)),
 	draws.join(' '),
-	...question.replicas.map(replica => replicaText(replica)),
+	...criteria.replicas.map(replica => replicaText(replica)),
 ].join('\n'));
--- a/src/common/running-work.ts
+++ b/src/common/running-work.ts
@@ -54,10 +54,10 @@
 
 	/** Records tokens of the answer. */
 	progressed(key: string, tokens: number, now: number): void {
-		const before = this.get(key);
-		if (before) {
-			this.#count(before, -1);
-			this.#put({...before, tokens: before.tokens + tokens, lastTokenAt: now});
+		const previous = this.get(key);
+		if (previous) {
+			this.#count(previous, -1);
+			this.#put({...previous, tokens: previous.tokens + tokens, lastTokenAt: now});
 		}
 	}
 
--- a/src/common/service-rate.ts
+++ b/src/common/service-rate.ts
@@ -14,7 +14,7 @@
 // The prior counts as much as this many tokens of measured work.
 const priorTokens = 100;
 // Factor by which each finished request reduces the weight of those before it.
-const retained = 0.95;
+const decayFactor = 0.95;
 
 /** A weighted mean of milliseconds a token. */
 export class ServiceRate {
@@ -37,7 +37,7 @@
 	@param ms - Milliseconds that it ran.
 	*/
 	finished(costTokens: number, ms: number): void {
-		this.#ms = (this.#ms * retained) + ms;
-		this.#tokens = (this.#tokens * retained) + costTokens;
+		this.#ms = (this.#ms * decayFactor) + ms;
+		this.#tokens = (this.#tokens * decayFactor) + costTokens;
 	}
 }
--- a/src/common/subset-policy.ts
+++ b/src/common/subset-policy.ts
@@ -18,7 +18,7 @@
 };
 
 // Share of the replicas in the entry's own failure domain; the rest comes from other domains.
-const nearShare = 0.75;
+const localShare = 0.75;
 // A replica is replaced after this many consecutive failures; it is still polled, so that it is used again once it answers.
 const failuresBeforeReplaced = 4;
 
@@ -33,9 +33,9 @@
 const chooseFor = (target: string, candidates: readonly SubsetCandidate[], {self, failureDomain, perTarget}: SubsetCriteria): VmName[] => {
 	const byName = new Map<string, SubsetCandidate>(candidates.map(candidate => [candidate.vm, candidate]));
 	const ranked = rankMembers(`${self}|${target}`, [...byName.keys()]).map(name => byName.get(name)!);
-	const near = ranked.filter(candidate => candidate.failureDomain === failureDomain).slice(0, Math.ceil(perTarget * nearShare));
-	const others = ranked.filter(candidate => !near.includes(candidate));
-	return [...near, ...others].slice(0, perTarget).map(({vm}) => vm);
+	const local = ranked.filter(candidate => candidate.failureDomain === failureDomain).slice(0, Math.ceil(perTarget * localShare));
+	const others = ranked.filter(candidate => !local.includes(candidate));
+	return [...local, ...others].slice(0, perTarget).map(({vm}) => vm);
 };
 
 /**
@@ -43,11 +43,11 @@
 
 @returns The VMs to poll: `perTarget` of each target, and four times as many of those whose backend server is not declared; failing replicas are included in addition to those that replace them.
 */
-export const chooseSubset = (question: SubsetCriteria): ReadonlySet<VmName> => {
+export const chooseSubset = (criteria: SubsetCriteria): ReadonlySet<VmName> => {
 	const undeclared: ReplicaView[] = [];
 	const byTarget = new Map<string, SubsetCandidate[]>();
-	question.replicas.filter(({leaving}) => !leaving).forEach(replica => {
-		const targets = question.targetsOf(replica.vm);
+	criteria.replicas.filter(({leaving}) => !leaving).forEach(replica => {
+		const targets = criteria.targetsOf(replica.vm);
 		if (!targets) {
 			undeclared.push(replica);
 		}
@@ -59,10 +59,10 @@
 		});
 	});
 	// Before the first configuration, all replicas are undeclared; even then an entry must not poll the whole fleet.
-	const chosen = new Set(chooseFor('undeclared', undeclared, {...question, perTarget: question.perTarget * undeclaredFactor}));
+	const chosen = new Set(chooseFor('undeclared', undeclared, {...criteria, perTarget: criteria.perTarget * undeclaredFactor}));
 	byTarget.forEach((candidates, target) => {
 		const healthy = candidates.filter(candidate => !isReplaced(candidate));
-		[...chooseFor(target, candidates, question), ...chooseFor(target, healthy, question)].forEach(vm => {
+		[...chooseFor(target, candidates, criteria), ...chooseFor(target, healthy, criteria)].forEach(vm => {
 			chosen.add(vm);
 		});
 	});
--- a/src/common/testing/fake-object-api.ts
+++ b/src/common/testing/fake-object-api.ts
@@ -15,7 +15,7 @@
 const valueLimitBytes = 1_000_000;
 
 /** Values are copied when stored and returned, as they would be on a network. */
-const copied = <T>(value: T): T => structuredClone(value);
+const copyOf = <T>(value: T): T => structuredClone(value);
 
 /** An {@link ObjectApi} for tests. Versions start at 1. */
 export class FakeObjectApi implements ObjectApi {
@@ -58,14 +58,14 @@
 	async get<T>(kind: ObjectKind, name: string): Promise<Answer<StoredObject<T>>> {
 		return this.#call('get', kind, name, () => {
 			const found = this.#find<T>(kind, name);
-			return found ? Right(copied(found)) : Left({kind: 'notFound'});
+			return found ? Right(copyOf(found)) : Left({kind: 'notFound'});
 		});
 	}
 
 	async create<T>(kind: ObjectKind, name: string, value: T): Promise<Answer<StoredObject<T>>> {
 		return this.#call('create', kind, name, () => {
 			const current = this.#find(kind, name);
-			return current ? Left({kind: 'conflict', current: copied(current)}) : this.#put(kind, name, value);
+			return current ? Left({kind: 'conflict', current: copyOf(current)}) : this.#put(kind, name, value);
 		});
 	}
 
@@ -76,7 +76,7 @@
 				return Left({kind: 'notFound'});
 			}
 
-			return current.version === version ? this.#put(kind, name, value) : Left({kind: 'conflict', current: copied(current)});
+			return current.version === version ? this.#put(kind, name, value) : Left({kind: 'conflict', current: copyOf(current)});
 		});
 	}
 
@@ -88,7 +88,7 @@
 			}
 
 			if (version !== undefined && current.version !== version) {
-				return Left({kind: 'conflict', current: copied(current)});
+				return Left({kind: 'conflict', current: copyOf(current)});
 			}
 
 			this.#objects.delete(`${kind}/${name}`);
@@ -101,7 +101,7 @@
 			const matching = this.all<T>(kind)
 				.filter(({name}) => name.startsWith(query.prefix ?? '') && (query.after === undefined || name > query.after));
 			const items = matching.slice(0, query.limit ?? defaultPageSize)
-				.map(object => query.values === false ? {...object, value: undefined as T} : copied(object));
+				.map(object => query.values === false ? {...object, value: undefined as T} : copyOf(object));
 			return Right({items, version: branded<Revision>(this.#version), more: items.length < matching.length});
 		});
 	}
@@ -110,12 +110,12 @@
 		return this.#call('watch', kinds[0] ?? 'Lease', '', async () => {
 			const batch = () => this.#history.filter(event => event.version > since && kinds.includes(event.kind));
 			if (batch().length === 0 && since >= this.#oldestWatchable) {
-				await this.#changeOf(kinds, waitMs);
+				await this.#waitForChange(kinds, waitMs);
 			}
 
 			return since < this.#oldestWatchable
 				? Left({kind: 'expired'})
-				: Right({version: branded<Revision>(this.#version), events: copied(batch())});
+				: Right({version: branded<Revision>(this.#version), events: copyOf(batch())});
 		});
 	}
 
@@ -134,7 +134,7 @@
 			return Left({kind: 'tooLarge', limitBytes: valueLimitBytes});
 		}
 
-		const stored = copied(value);
+		const stored = copyOf(value);
 		const version = this.#record({
 			type: 'put', kind, name, value: stored,
 		});
@@ -142,7 +142,7 @@
 			kind, name, version, value: stored,
 		};
 		this.#objects.set(`${kind}/${name}`, object);
-		return this.#changed(Right(copied(object)));
+		return this.#changed(Right(copyOf(object)));
 	}
 
 	#record(event: Omit<WatchEvent, 'version'>): Revision {
@@ -162,7 +162,7 @@
 		return Left({kind: 'unknown', reason: 'the answer was lost'});
 	}
 
-	async #changeOf(kinds: readonly ObjectKind[], waitMs: number): Promise<void> {
+	async #waitForChange(kinds: readonly ObjectKind[], waitMs: number): Promise<void> {
 		return new Promise(resolve => {
 			const finish = () => {
 				clearTimeout(timer);
