--- a/src/common/account-slots.ts
+++ b/src/common/account-slots.ts
@@ -5,7 +5,7 @@
 import type {QueueItem} from './fair-queue.js';
 import type {Clock} from './services.js';
 
-type Slots = {share: number; running: number; prefilling: number; seenAt: number};
+type AccountState = {share: number; running: number; prefilling: number; lastActiveAt: number};
 
 const activityWindowMs = 2000;
 /** Share of the slots that an account over its share leaves free while others are active. */
@@ -18,7 +18,7 @@
 export class AccountSlots {
 	readonly #clock: Clock;
 	readonly #maxRunning: number;
-	readonly #accounts = new Map<AccountName, Slots>();
+	readonly #accounts = new Map<AccountName, AccountState>();
 	#totalShares = 0;
 	#prunedAt = 0;
 
@@ -31,53 +31,53 @@
 	/** Marks an account as active for the next two seconds. */
 	recordActivity({account, share}: QueueItem): void {
 		this.#prune();
-		const slots = this.#slotsOf(account);
-		this.#totalShares += share - slots.share;
-		slots.share = share;
-		slots.seenAt = this.#clock.now();
+		const state = this.#stateOf(account);
+		this.#totalShares += share - state.share;
+		state.share = share;
+		state.lastActiveAt = this.#clock.now();
 	}
 
 	began({account}: QueueItem): void {
-		const slots = this.#slotsOf(account);
-		slots.running += 1;
-		slots.prefilling += 1;
+		const state = this.#stateOf(account);
+		state.running += 1;
+		state.prefilling += 1;
 	}
 
 	/** Records that the prompt of a request has been computed. */
 	prefilled({account}: QueueItem): void {
-		this.#slotsOf(account).prefilling -= 1;
+		this.#stateOf(account).prefilling -= 1;
 	}
 
 	/** @param hadToken - False when the prompt was not computed yet. */
 	ended({account}: QueueItem, hadToken: boolean): void {
-		const slots = this.#slotsOf(account);
-		slots.running -= 1;
-		slots.prefilling -= hadToken ? 0 : 1;
+		const state = this.#stateOf(account);
+		state.running -= 1;
+		state.prefilling -= hadToken ? 0 : 1;
 	}
 
 	/** True when the account's next request would take more than twice its share of the slots, while other accounts are active. */
 	isOverShare({account}: QueueItem): boolean {
-		const slots = this.#slotsOf(account);
-		const fairLimit = Math.min(Math.ceil(this.#maxRunning * slots.share / this.#totalShares * burstFactor), this.#maxRunning * (1 - headroomShare));
-		return slots.share < this.#totalShares && slots.running >= fairLimit;
+		const state = this.#stateOf(account);
+		const fairLimit = Math.min(Math.ceil(this.#maxRunning * state.share / this.#totalShares * burstFactor), this.#maxRunning * (1 - headroomShare));
+		return state.share < this.#totalShares && state.running >= fairLimit;
 	}
 
 	/** Requests of the account whose prompts are being computed. */
 	prefilling({account}: QueueItem): number {
-		return this.#slotsOf(account).prefilling;
+		return this.#stateOf(account).prefilling;
 	}
 
-	#slotsOf(account: AccountName): Slots {
+	#stateOf(account: AccountName): AccountState {
 		const existing = this.#accounts.get(account);
 		if (existing) {
 			return existing;
 		}
 
-		const slots = {
-			share: 0, running: 0, prefilling: 0, seenAt: this.#clock.now(),
+		const state = {
+			share: 0, running: 0, prefilling: 0, lastActiveAt: this.#clock.now(),
 		};
-		this.#accounts.set(account, slots);
-		return slots;
+		this.#accounts.set(account, state);
+		return state;
 	}
 
 	#prune() {
@@ -87,8 +87,8 @@
 		}
 
 		this.#prunedAt = now;
-		[...this.#accounts].filter(([, slots]) => slots.running === 0 && now - slots.seenAt >= activityWindowMs).forEach(([account, slots]) => {
-			this.#totalShares -= slots.share;
+		[...this.#accounts].filter(([, state]) => state.running === 0 && now - state.lastActiveAt >= activityWindowMs).forEach(([account, state]) => {
+			this.#totalShares -= state.share;
 			this.#accounts.delete(account);
 		});
 	}
--- a/src/common/admission.feature
+++ b/src/common/admission.feature
@@ -5,14 +5,14 @@
 		Given an engine that runs 8 requests at once and an agent that queues up to 4
 
 	Scenario: An online request meets an engine full of batch items
-		Given 20 batch items are offered and all start that may
+		Given 20 batch items are offered and as many start as allowed
 		When an online request of account "kiosk" is offered
-		Then the online request starts at the latest when one batch item has left
+		Then the online request starts no later than when one batch item has left
 		And the preempted batch items are queued again
 
 	Scenario: Batch work is limited while it makes online tokens slower
 		The engine's steps take twice as long beside batch items, so the online caller receives its answer at half the speed. The agent compares this with online work alone, and reduces the number of batch items that run.
-		Given 20 batch items are offered and all start that may
+		Given 20 batch items are offered and as many start as allowed
 		And an online request of account "kiosk" runs
 		When its tokens come every 2 ms without batch items and every 4 ms beside them, for 2000 tokens
 		Then at most 1 batch item may run
--- a/src/common/admission.steps.ts
+++ b/src/common/admission.steps.ts
@@ -59,7 +59,7 @@
 	});
 });
 
-Given('{int} batch items are offered and all start that may', function (this: TestWorld, count: number) {
+Given('{int} batch items are offered and as many start as allowed', function (this: TestWorld, count: number) {
 	const state = stateOf(this);
 	Array.from({length: count}).forEach(() => {
 		offer(state, ticketOf(state, 'batch', 'notes'));
@@ -142,7 +142,7 @@
 	});
 });
 
-Then('the online request starts at the latest when one batch item has left', function (this: TestWorld) {
+Then('the online request starts no later than when one batch item has left', function (this: TestWorld) {
 	const state = stateOf(this);
 	const preempted = state.steps.find(step => step.kind === 'preempt');
 	assert.ok(preempted, 'no batch item was preempted');
--- a/src/common/cache-mirror.ts
+++ b/src/common/cache-mirror.ts
@@ -40,7 +40,7 @@
 	#answers: Numbered[] = [];
 	#seq = 0;
 	/** Changes are complete from this number on. */
-	#from = 0;
+	#completeFrom = 0;
 
 	/** The number of the last event. */
 	get seq(): number {
@@ -90,7 +90,7 @@
 	changesSince(since: number): CacheDrops {
 		const isNew = ({seq}: Numbered) => seq > since;
 		return {
-			from: Math.max(since, this.#from),
+			from: Math.max(since, this.#completeFrom),
 			to: this.#seq,
 			blocks: this.#drops.filter(isNew).flatMap(({blocks}) => blocks),
 			// Answered prompts whose blocks have been dropped since are left out.
@@ -102,12 +102,12 @@
 		this.#blocks.clear();
 		this.#drops = [];
 		this.#answers = [];
-		this.#from = seq;
+		this.#completeFrom = seq;
 	}
 
 	#trim() {
 		const excess = this.#drops.splice(0, Math.max(0, this.#drops.length - maxRetainedEvents));
-		this.#from = Math.max(this.#from, excess.at(-1)?.seq ?? 0);
+		this.#completeFrom = Math.max(this.#completeFrom, excess.at(-1)?.seq ?? 0);
 		this.#answers.splice(0, Math.max(0, this.#answers.length - maxRetainedEvents));
 	}
 }
--- a/src/common/config-in-force.ts
+++ b/src/common/config-in-force.ts
@@ -43,9 +43,9 @@
 export const withTally = (pending: PendingVersion, tally: InForceTally, now: number): PendingVersion => ({...pending, completeSince: isInForce(tally) ? pending.completeSince ?? now : undefined});
 
 /** Whether to write a report now. */
-export const isReportDue = ({seenAt, reportedAt, reported, completeSince: wholeSince}: PendingVersion, tally: InForceTally, now: number): boolean => {
+export const isReportDue = ({seenAt, reportedAt, reported, completeSince}: PendingVersion, tally: InForceTally, now: number): boolean => {
 	if (isInForce(tally)) {
-		return wholeSince !== undefined && now - wholeSince >= settleMs;
+		return completeSince !== undefined && now - completeSince >= settleMs;
 	}
 
 	return reportedAt === undefined
--- a/src/common/config-peer-follower.ts
+++ b/src/common/config-peer-follower.ts
@@ -84,7 +84,7 @@
 		return !this.#disposed && answer.map(received => this.#applyAnswer(received)).orDefault(false);
 	}
 
-	// Changes are accepted from any node, even a disconnected one: the table keeps only newer ones. But a disconnected node is not polled again.
+	// Changes are accepted from any node, even a disconnected one: the table keeps only newer ones. But polls do not wait at a disconnected node; the next one goes to another.
 	#applyAnswer(answer: ConfigAnswer): boolean {
 		const isApplied = answer.isReady && this.#parts.table.apply(answer);
 		if (!isApplied || !answer.isConnected) {
--- a/src/common/job-run.ts
+++ b/src/common/job-run.ts
@@ -186,7 +186,7 @@
 		this.#returned.push(chunk);
 	}
 
-	/** Estimated end in milliseconds since 1970; undefined while no item is completed. */
+	/** Estimated end in milliseconds since 1970; undefined while no item has completed or failed. */
 	estimatedEnd(nowMs: number): number | undefined {
 		const {completed, failed} = this.#counts();
 		const done = completed + failed;
--- a/src/common/log-events.steps.ts
+++ b/src/common/log-events.steps.ts
@@ -33,8 +33,8 @@
 });
 
 Then('each event on the page is defined in a catalogue', function (this: EventsWorld) {
-	const known = new Set(this.catalogued.map(keyOf));
-	assert.deepEqual(rowsOnPage().filter(row => !known.has(row)), []);
+	const cataloguedKeys = new Set(this.catalogued.map(keyOf));
+	assert.deepEqual(rowsOnPage().filter(row => !cataloguedKeys.has(row)), []);
 });
 
 Then('the page is as {string} writes it', function (this: EventsWorld, _command: string) {
--- a/src/common/placement-policy.steps.ts
+++ b/src/common/placement-policy.steps.ts
@@ -8,8 +8,8 @@
 import type {TestWorld} from './testing/test-world.js';
 
 type Engine = {vm: string; failureDomain: string; loaded: PlacedModel[]; assigned: PlacedModel[] | undefined; loading: {model: PlacedModel; steps: number} | undefined; isLost: boolean};
-type Seen = {readonly ready: number; readonly loads: number};
-type PlacementWorld = TestWorld & {engines: Engine[]; wanted: DesiredModel; maxLoads: number; seen: Seen[]};
+type StepStats = {readonly ready: number; readonly loads: number};
+type PlacementWorld = TestWorld & {engines: Engine[]; wanted: DesiredModel; maxLoads: number; stepStats: StepStats[]};
 
 const model = 'tyre-scribe';
 const loadSteps = 2;
@@ -44,14 +44,14 @@
 		engine.loaded = engine.loaded.filter(loaded => !unload.includes(loaded.model));
 		startLoads(engine);
 	});
-	world.seen.push({ready: live(world).filter(engine => isReady(engine)).length, loads: live(world).filter(({loading}) => loading).length});
+	world.stepStats.push({ready: live(world).filter(engine => isReady(engine)).length, loads: live(world).filter(({loading}) => loading).length});
 	live(world).forEach(engine => {
 		advance(engine);
 	});
 };
 
 const take = (world: PlacementWorld, steps: number) => {
-	world.seen = [];
+	world.stepStats = [];
 	Array.from({length: steps}).forEach(() => {
 		step(world);
 	});
@@ -104,7 +104,7 @@
 });
 
 const assertReady = (world: PlacementWorld, count: number) => {
-	assert.ok(Math.min(...world.seen.map(({ready}) => ready)) >= count, JSON.stringify(world.seen));
+	assert.ok(Math.min(...world.stepStats.map(({ready}) => ready)) >= count, JSON.stringify(world.stepStats));
 };
 
 Then('at least {int} replicas were ready in each step', function (this: PlacementWorld, count: number) {
@@ -118,12 +118,12 @@
 Then('at least {int} of the {int} remaining engines were ready in each step since', function (this: PlacementWorld, count: number, left: number) {
 	assert.equal(live(this).length, left);
 	// Engines that were loading when the failure domain was lost continue to load.
-	const settled = this.seen.slice(loadSteps + 1);
-	assert.ok(Math.min(...settled.map(({ready}) => ready)) >= count, JSON.stringify(this.seen));
+	const settled = this.stepStats.slice(loadSteps + 1);
+	assert.ok(Math.min(...settled.map(({ready}) => ready)) >= count, JSON.stringify(this.stepStats));
 });
 
 Then('at most {int} loads were in progress in each step', function (this: PlacementWorld, count: number) {
-	assert.ok(Math.max(...this.seen.map(({loads}) => loads)) <= count, JSON.stringify(this.seen));
+	assert.ok(Math.max(...this.stepStats.map(({loads}) => loads)) <= count, JSON.stringify(this.stepStats));
 });
 
 Then('all engines (that remain )have version {string}', function (this: PlacementWorld, version: string) {
--- a/src/common/placement-policy.ts
+++ b/src/common/placement-policy.ts
@@ -68,15 +68,15 @@
 	const ranked = rankMembers(wanted.model, candidates.map(({vm}) => vm)).map(vm => candidates.find(server => server.vm === vm)!);
 	const weight = ({assigned, loaded}: PlacementServer) => (modelIn(loaded, wanted.model) ? 2 : 0) + (modelIn(assigned, wanted.model) ? 1 : 0);
 	const chosen: PlacementServer[] = [];
-	const left = [...ranked];
-	while (chosen.length < target && left.length > 0) {
+	const remaining = [...ranked];
+	while (chosen.length < target && remaining.length > 0) {
 		const inDomain = ({failureDomain}: PlacementServer) => chosen.filter(server => server.failureDomain === failureDomain).length;
-		const next = left.toSorted((a, b) => weight(b) - weight(a) || inDomain(a) - inDomain(b) || (a.assigned?.length ?? 0) - (b.assigned?.length ?? 0))[0]!;
+		const next = remaining.toSorted((a, b) => weight(b) - weight(a) || inDomain(a) - inDomain(b) || (a.assigned?.length ?? 0) - (b.assigned?.length ?? 0))[0]!;
 		chosen.push(next);
-		left.splice(left.indexOf(next), 1);
+		remaining.splice(remaining.indexOf(next), 1);
 	}
 
-	return {chosen, left};
+	return {chosen, remaining};
 };
 
 const planModel = (wanted: DesiredModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
@@ -84,7 +84,7 @@
 	const target = Math.min(wanted.replicas ?? candidates.length, candidates.length);
 	// At least one replica may be missing, otherwise no server could ever change its version.
 	const minReady = Math.max(0, Math.min(wanted.minReady ?? target - 1, target - 1));
-	const {chosen, left} = chooseServers(wanted, candidates, target);
+	const {chosen, remaining} = chooseServers(wanted, candidates, target);
 	const isReady = ({loaded}: PlacementServer) => modelIn(loaded, wanted.model) !== undefined;
 	const isChanging = ({assigned, loaded}: PlacementServer) => isVersion(modelIn(assigned, wanted.model), wanted) && !isVersion(modelIn(loaded, wanted.model), wanted);
 	let allowedMissing = chosen.filter(server => isReady(server) && !isChanging(server)).length - minReady;
@@ -114,7 +114,7 @@
 			ready,
 			rolledOut: chosen.filter(({loaded}) => isVersion(modelIn(loaded, wanted.model), wanted)).length,
 			chosen: chosen.map(({vm}) => vm),
-			runnersUp: left.map(({vm}) => vm).slice(0, 3),
+			runnersUp: remaining.map(({vm}) => vm).slice(0, 3),
 		},
 		versions,
 	};
--- a/src/common/protocol.ts
+++ b/src/common/protocol.ts
@@ -99,7 +99,7 @@
 
 /** The end of a complete answer. */
 export type AttemptEnd = {
-	/** Chunks in the whole attempt. */
+	/** Number of chunks of the attempt. */
 	readonly chunks: number;
 	readonly load: LoadReport;
 	/** Blocks of the prompt that the engine holds now. */
--- a/src/common/replay.feature
+++ b/src/common/replay.feature
@@ -17,7 +17,7 @@
   Scenario: Lease decisions
     When the recorded lease decisions are replayed
     Then there are at least 100 of them
-    And each decides as its record says
+    And each gives the decision of its record
     And some lease changes its holder
     And none takes a lease that another holder may still act under
     And the fencing number grows by one when a lease changes its holder, and only then
--- a/src/common/replay.steps.ts
+++ b/src/common/replay.steps.ts
@@ -30,7 +30,7 @@
 	const draws = new ReplayedDraws(record.draws);
 	const choice = chooseReplica(question, draws);
 	return {
-		record, question, choice, drawsLeft: draws.left,
+		record, question, choice, drawsLeft: draws.unusedDraws,
 	};
 };
 
@@ -103,7 +103,7 @@
 	});
 });
 
-Then('each decides as its record says', function (this: ReplayWorld) {
+Then('each gives the decision of its record', function (this: ReplayWorld) {
 	this.leases.forEach(({name, question, decision}) => {
 		assert.deepEqual(decideLease(question), decision, name);
 	});
--- a/src/common/request-ledger.steps.ts
+++ b/src/common/request-ledger.steps.ts
@@ -9,7 +9,7 @@
 import type {TestWorld} from './testing/test-world.js';
 
 type Reading = LedgerReader & {readonly chunks: string[]; ended: string | undefined; wasReplaced: boolean};
-type LedgerWorld = TestWorld & {now: number; ledger: RequestLedger; asked: IssuedAttempt; readings: Reading[]};
+type LedgerWorld = TestWorld & {now: number; ledger: RequestLedger; currentAttempt: IssuedAttempt; readings: Reading[]};
 
 const startMs = 1_000_000;
 const deadlineMs = 1000;
@@ -33,7 +33,7 @@
 
 const run = (world: LedgerWorld, id: string, chunks: string) => {
 	const attempt = attemptOf(id);
-	world.asked = attempt;
+	world.currentAttempt = attempt;
 	assert.equal(world.ledger.begin(attempt, deadlineMs), 'new');
 	world.ledger.start(attempt);
 	chunks.split(',').forEach(chunk => {
@@ -45,7 +45,7 @@
 const read = (world: LedgerWorld, name: string, from: number) => {
 	const reading = readingOf(name);
 	world.readings.push(reading);
-	return {reading, isRead: world.ledger.read(world.asked, from, reading)};
+	return {reading, isRead: world.ledger.read(world.currentAttempt, from, reading)};
 };
 
 Given('a ledger that retains ended answers for {int} seconds and {int} bytes', function (this: LedgerWorld, seconds: number, bytes: number) {
@@ -56,8 +56,8 @@
 });
 
 When('the attempt {string} is revoked before it arrives', function (this: LedgerWorld, id: string) {
-	this.asked = attemptOf(id);
-	assert.equal(this.ledger.revoke(this.asked, deadlineMs).state, 'revoked');
+	this.currentAttempt = attemptOf(id);
+	assert.equal(this.ledger.revoke(this.currentAttempt, deadlineMs).state, 'revoked');
 });
 
 When('the attempt {string} runs and ends with the chunks {string}', function (this: LedgerWorld, id: string, chunks: string) {
@@ -76,20 +76,20 @@
 });
 
 When('the attempt {string} begins and {string} and {string} read it', function (this: LedgerWorld, id: string, first: string, second: string) {
-	this.asked = attemptOf(id);
-	this.ledger.begin(this.asked, deadlineMs);
-	this.ledger.start(this.asked);
+	this.currentAttempt = attemptOf(id);
+	this.ledger.begin(this.currentAttempt, deadlineMs);
+	this.ledger.start(this.currentAttempt);
 	read(this, first, 0);
 	read(this, second, 0);
 });
 
 When('it sends the chunk {string}', function (this: LedgerWorld, chunk: string) {
-	this.ledger.append(this.asked, chunk);
+	this.ledger.append(this.currentAttempt, chunk);
 });
 
 When('it sends the chunk {string} and ends', function (this: LedgerWorld, chunk: string) {
-	this.ledger.append(this.asked, chunk);
-	this.ledger.end(this.asked, {event: 'end', data: '{}'});
+	this.ledger.append(this.currentAttempt, chunk);
+	this.ledger.end(this.currentAttempt, {event: 'end', data: '{}'});
 });
 
 When('{string} reads it again from chunk {int}', function (this: LedgerWorld, name: string, from: number) {
@@ -97,7 +97,7 @@
 });
 
 Then('the ledger reports its state as {string}', function (this: LedgerWorld, state: string) {
-	assert.equal(this.ledger.revoke(this.asked, deadlineMs).state, state);
+	assert.equal(this.ledger.revoke(this.currentAttempt, deadlineMs).state, state);
 });
 
 Then('the attempt {string} may not start', function (this: LedgerWorld, id: string) {
--- a/src/common/route-policy.ts
+++ b/src/common/route-policy.ts
@@ -58,8 +58,8 @@
 	const ownTokens = criteria.costTokens - ((criteria.cachedTokens?.(replica.vm) ?? 0) * weights.perCachedToken);
 	const batch = (load?.batchRunning ?? 0) * weights.perBatchItem;
 	const crowding = crowdingOf(replica) * weights.perCrowdedRequest;
-	const isElsewhere = criteria.failureDomain !== undefined && criteria.failureDomain !== replica.failureDomain;
-	return tokensAhead + ownTokens + batch + crowding + (isElsewhere ? weights.otherDomain : 0);
+	const isOtherDomain = criteria.failureDomain !== undefined && criteria.failureDomain !== replica.failureDomain;
+	return tokensAhead + ownTokens + batch + crowding + (isOtherDomain ? weights.otherDomain : 0);
 };
 
 /**
--- a/src/common/subset-policy.steps.ts
+++ b/src/common/subset-policy.steps.ts
@@ -71,8 +71,8 @@
 			counts.set(vm, counts.get(vm)! + 1);
 		});
 	});
-	const known = [...counts.values()];
-	assert.ok(Math.min(...known) >= least && Math.max(...known) <= most, `from ${Math.min(...known)} to ${Math.max(...known)}`);
+	const entriesPerReplica = [...counts.values()];
+	assert.ok(Math.min(...entriesPerReplica) >= least && Math.max(...entriesPerReplica) <= most, `from ${Math.min(...entriesPerReplica)} to ${Math.max(...entriesPerReplica)}`);
 });
 
 Then('the entry has {int} replicas, {int} of them as before', function (this: SubsetWorld, count: number, same: number) {
