--- a/src/common/replica-table.ts
+++ b/src/common/replica-table.ts
@@ -50,7 +50,7 @@
 /** While all replicas are unresponsive, the report timeout is multiplied by this factor; after that this process is considered disconnected, and refuses at once. */
 export const allUnresponsiveFactor = 3;
 
-// About 200 kB for each replica at the most.
+// At most about 200 kB per replica.
 const maxPrefixBlocks = 2000;
 
 /** True when a replica may get new work: it serves the target, is not leaving or draining, and has sent a report within `silentMs`. */
