--- a/src/common/config-bootstrap.steps.ts
+++ b/src/common/config-bootstrap.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the first configuration of a node that keeps a snapshot.
+Steps for the initial configuration of a node that stores a snapshot.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -16,13 +16,13 @@
 	peers: readonly string[];
 	ask: PollNode;
 	api: ConfigChanges | undefined;
-	first: InitialConfig | undefined;
+	initial: InitialConfig | undefined;
 };
 
 const rounds = 3;
 const kind = 'ServedModel';
 
-/** A whole configuration of models written as `name@version`. */
+/** A complete configuration of models written as `name@version`. */
 const configAt = (revision: number, models: string): ConfigChanges => {
 	const events = models.split(' ').map((model): WatchEvent => {
 		const [name = '', version] = model.split('@');
@@ -57,7 +57,7 @@
 	let round = 0;
 	const clock = new ManualClock();
 	clock.sleep = async () => undefined;
-	this.first = await loadInitialConfig({
+	this.initial = await loadInitialConfig({
 		clock,
 		random: {next: () => 0},
 		node: 'entry-1',
@@ -73,13 +73,13 @@
 });
 
 Then('it waits', function (this: BootstrapWorld) {
-	assert.equal(this.first, undefined);
+	assert.equal(this.initial, undefined);
 });
 
 Then('it has models {string} at revision {int}', function (this: BootstrapWorld, names: string, revision: number) {
 	const table = new ConfigTable();
-	assert.ok(this.first);
-	table.apply(this.first.changes);
+	assert.ok(this.initial);
+	table.apply(this.initial.changes);
 	assert.equal(table.list(kind).map(({name}) => name).join(' '), names);
 	assert.equal(table.revision, revision);
 });
--- a/src/common/config-reader.ts
+++ b/src/common/config-reader.ts
@@ -1,5 +1,5 @@
 /**
-Reads the whole configuration from the object API, as one set of changes that is complete up to its revision.
+Reads the complete configuration from the object API, as one set of changes that has no gaps up to its revision.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {ConfigChanges} from './config-table.js';
@@ -31,7 +31,7 @@
 	return Right({items, version: first.version});
 };
 
-const withCatchUp = (lists: readonly KindList[], {events, version}: WatchBatch, name?: string): ConfigChanges => {
+const withLaterChanges = (lists: readonly KindList[], {events, version}: WatchBatch, name?: string): ConfigChanges => {
 	const later = events.filter(event => name === undefined || event.name === name);
 	const listed = lists.flatMap(({items}) => items.map((item): WatchEvent => ({type: 'put', ...item})));
 	const byKey = new Map([...listed, ...later].map(event => [`${event.kind}/${event.name}`, event]));
@@ -42,7 +42,7 @@
 };
 
 /**
-Lists each kind, then asks for what changed since the first list was read: the lists are of different moments, and only the changes between make them one whole.
+Lists each kind, then requests the changes since the first list was read: the lists are read at different times, and only the changes in between make them consistent.
 
 @param name - Only objects of this name; all by default.
 */
@@ -58,11 +58,11 @@
 	}
 
 	const since = lists[0]?.version ?? 0 as Revision;
-	const caughtUp = await api.watch(kinds, since, 0);
-	return caughtUp.map(batch => withCatchUp(lists, batch, name));
+	const watched = await api.watch(kinds, since, 0);
+	return watched.map(batch => withLaterChanges(lists, batch, name));
 };
 
-/** The changes of one watch, as the table takes them. */
+/** Converts the result of one watch to changes of the table. */
 export const changesOfWatch = ({events, version}: WatchBatch, since: Revision): ConfigChanges => ({
 	full: false, since, revision: version, head: newestOf(events), events,
 });
--- a/src/common/fair-queue.ts
+++ b/src/common/fair-queue.ts
@@ -1,11 +1,11 @@
 /**
-A queue that is fair between client accounts by virtual token counters: each account's counter grows by the tokens it was served, divided by its share, and the waiting account with the lowest counter goes next. An account that was away is lifted to the counter that was served last, so that absence earns no credit.
+A queue that is fair between client accounts by virtual token counters: each account's counter grows by the tokens it was served, divided by its share, and the waiting account with the lowest counter goes next. The counter of an account that was idle is raised to the counter served last, so that idle time earns no credit.
 
-Only accounts with waiting items are looked at when the next item is chosen; the counters of the others are kept apart, bounded in number.
+Only accounts with waiting items are searched for the next item; the counters of the others are stored separately, bounded in number.
 */
 import type {AccountName} from './ids.js';
 
-/** Something that waits. */
+/** An item of the queue. */
 export type QueueItem = {
 	readonly account: AccountName;
 	/** The account's weight, above 0. */
@@ -16,13 +16,13 @@
 
 type Lane<Item> = {items: Item[]; counter: number; queuedTokens: number; share: number};
 
-// The counters of accounts without waiting items are forgotten beyond this number, the longest unused first; 26,000 accounts would otherwise stay in memory. A forgotten account starts again at the counter served last, which is where absence would have lifted it anyway.
+// Beyond this number, counters of accounts without waiting items are discarded, the least recently used first; 26,000 accounts would otherwise stay in memory. A discarded account starts again at the counter served last, to which its idle time would have raised it anyway.
 const maxIdleLanes = 1000;
 
-/** Items by account, taken in fair order. Within an account the order of arrival holds. */
+/** Items by account, taken in fair order. Within an account they are taken in order of arrival. */
 export class FairQueue<Item extends QueueItem> {
 	readonly #waiting = new Map<AccountName, Lane<Item>>();
-	// The lanes of #waiting, for the search of the lowest: an array is read several times faster than a map.
+	// The lanes of #waiting, for the search for the lowest counter: an array is iterated several times faster than a map.
 	readonly #lanes: Array<Lane<Item>> = [];
 	readonly #idle = new Map<AccountName, Lane<Item>>();
 	#length = 0;
@@ -45,7 +45,7 @@
 		this.#count(lane, item, 1);
 	}
 
-	/** Puts back an item that was taken and not served; its account's counter is credited. */
+	/** Returns an item that was taken and not served to the front of its account's items, and credits the account. */
 	unshift(item: Item): void {
 		const lane = this.#laneOf(item);
 		lane.counter -= item.costTokens / item.share;
@@ -53,14 +53,14 @@
 		this.#count(lane, item, 1);
 	}
 
-	/** The next item in fair order, which is left in the queue. */
+	/** Returns the next item in fair order without removing it; undefined when the queue is empty. */
 	peek(): Item | undefined {
 		return this.#lowest()?.items[0];
 	}
 
-	/** Takes the next item for which `fits` holds at the head of its account's items, and charges the account. */
-	shift(fits?: (item: Item) => boolean): Item | undefined {
-		const lane = this.#lowest(fits);
+	/** Takes the next item in fair order, among the first items of each account that satisfy the predicate, and charges its account. */
+	shift(predicate?: (item: Item) => boolean): Item | undefined {
+		const lane = this.#lowest(predicate);
 		const item = lane?.items.shift();
 		if (!lane || !item) {
 			return undefined;
@@ -72,7 +72,7 @@
 		return item;
 	}
 
-	/** Corrects an account's charge once the true cost is known; negative for less. An account that was forgotten is left alone. */
+	/** Corrects an account's charge once the actual cost is known; negative when it was lower. An account whose counter was discarded is ignored. */
 	charge(item: QueueItem, extraTokens: number): void {
 		const lane = this.#waiting.get(item.account) ?? this.#idle.get(item.account);
 		if (lane) {
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Takes out one item, without a charge. False when it does not wait here. */
+	/** Removes one item without a charge. False when it is not queued. */
 	remove(item: Item): boolean {
 		const lane = this.#waiting.get(item.account);
 		const index = lane?.items.indexOf(item) ?? -1;
@@ -93,23 +93,23 @@
 		return true;
 	}
 
-	/** Takes out all items for which `fits` holds, in no fair order and without a charge. */
-	takeWhere(fits: (item: Item) => boolean): Item[] {
-		const taken = [...this.#waiting.values()].flatMap(lane => lane.items.filter(item => fits(item)));
+	/** Removes all items that satisfy the predicate, in no particular order and without a charge. */
+	takeWhere(predicate: (item: Item) => boolean): Item[] {
+		const taken = [...this.#waiting.values()].flatMap(lane => lane.items.filter(item => predicate(item)));
 		taken.forEach(item => {
 			this.remove(item);
 		});
 		return taken;
 	}
 
-	/** The tokens that go before an item that came now: those of other accounts only as far as they are ahead in fair order. */
+	/** The tokens that would be served before an item that arrives now: those of other accounts only as far as they are ahead in fair order. */
 	tokensAheadOf(item: QueueItem): number {
-		const own = this.#waiting.get(item.account);
-		const start = Math.max(own?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
-		const finish = start + ((own?.queuedTokens ?? 0) / item.share);
-		let tokens = own?.queuedTokens ?? 0;
+		const ownLane = this.#waiting.get(item.account);
+		const start = Math.max(ownLane?.counter ?? this.#idle.get(item.account)?.counter ?? 0, this.#floor);
+		const finish = start + ((ownLane?.queuedTokens ?? 0) / item.share);
+		let tokens = ownLane?.queuedTokens ?? 0;
 		for (const lane of this.#waiting.values()) {
-			if (lane !== own) {
+			if (lane !== ownLane) {
 				tokens += Math.min(lane.queuedTokens, Math.max(0, (finish - lane.counter) * lane.share));
 			}
 		}
@@ -118,23 +118,23 @@
 	}
 
 	/**
-	Makes room for an item when the queue is full: the newest item of the account that has most waiting for its share.
+	Selects the item to evict for a new one when the queue is full: the newest item of the account that has the most tokens waiting relative to its share.
 
-	@returns The item that has to give way, still in the queue; undefined when the new item's own account would have most.
+	@returns The item to evict, still in the queue; undefined when the new item's own account would have the most.
 	*/
 	evictionCandidateFor(item: QueueItem): Item | undefined {
-		const own = this.#waiting.get(item.account);
-		let most = ((own?.queuedTokens ?? 0) + item.costTokens) / item.share;
-		let surplus: Lane<Item> | undefined;
+		const ownLane = this.#waiting.get(item.account);
+		let highestWeight = ((ownLane?.queuedTokens ?? 0) + item.costTokens) / item.share;
+		let heaviestLane: Lane<Item> | undefined;
 		for (const lane of this.#waiting.values()) {
 			const weight = lane.queuedTokens / lane.share;
-			if (lane !== own && weight > most) {
-				most = weight;
-				surplus = lane;
+			if (lane !== ownLane && weight > highestWeight) {
+				highestWeight = weight;
+				heaviestLane = lane;
 			}
 		}
 
-		return surplus?.items.at(-1);
+		return heaviestLane?.items.at(-1);
 	}
 
 	#count(lane: Lane<Item>, item: Item, sign: 1 | -1) {
@@ -145,7 +145,7 @@
 			this.#waiting.delete(item.account);
 			this.#lanes.splice(this.#lanes.indexOf(lane), 1);
 			this.#idle.set(item.account, lane);
-			this.#forgetIdle();
+			this.#trimIdle();
 		}
 	}
 
@@ -167,10 +167,10 @@
 		return lane;
 	}
 
-	#lowest(fits?: (item: Item) => boolean): Lane<Item> | undefined {
+	#lowest(predicate?: (item: Item) => boolean): Lane<Item> | undefined {
 		let best: Lane<Item> | undefined;
 		for (const lane of this.#lanes) {
-			if ((!best || lane.counter < best.counter) && (!fits || fits(lane.items[0]!))) {
+			if ((!best || lane.counter < best.counter) && (!predicate || predicate(lane.items[0]!))) {
 				best = lane;
 			}
 		}
@@ -178,7 +178,7 @@
 		return best;
 	}
 
-	#forgetIdle() {
+	#trimIdle() {
 		if (this.#idle.size > maxIdleLanes) {
 			const [oldest] = this.#idle.keys();
 			this.#idle.delete(oldest!);
--- a/src/common/job-run.ts
+++ b/src/common/job-run.ts
@@ -1,5 +1,5 @@
 /**
-What a coordinator knows of one job: which chunks are committed, which are granted to which agent, and which still have to be. It is rebuilt from the object API whenever a coordinator takes a job over, so nothing of it needs to last. It keeps a few bytes a chunk, whatever the number of items.
+A coordinator's state of one job: which chunks are committed, which are granted to which agent, and which are still to be granted. It is rebuilt from the object API whenever a coordinator takes over a job, so none of it is persisted. It takes a few bytes per chunk, whatever the number of items.
 */
 import type {BatchJobSpec} from '../../typings/resources.js';
 import {
@@ -22,14 +22,14 @@
 /** A chunk that its agent no longer has; it may have been committed before. */
 export type MissingChunk = {readonly chunk: number; readonly vm: VmName; readonly isFault: boolean};
 
-/** What a job's run begins from. */
+/** The initial state of a job's run. */
 export type JobStart = {
 	readonly jobId: JobId;
 	readonly spec: BatchJobSpec;
 	readonly file: FileRecord;
 	/** Chunks whose results exist already. */
 	readonly committed: readonly number[];
-	/** Those of them that an earlier coordinator has counted. */
+	/** Those of them that an earlier coordinator has already counted. */
 	readonly counted?: CommittedCounts;
 	/** Seconds since 1970. */
 	readonly startedAt: number;
@@ -37,12 +37,12 @@
 
 type Counts = {readonly completed: number; readonly failed: number};
 
-// After this many agents were lost with a chunk, its items run one by one, to find the one that takes them down.
+// After this many agents were lost while they held a chunk, its items run one by one, to identify the one that crashes them.
 const lossesBeforeIsolation = 2;
 const noCounts: Counts = {completed: 0, failed: 0};
 const sumOf = (counts: ReadonlyArray<Counts | undefined>): Counts => ({
-	completed: counts.reduce((sum, known) => sum + (known?.completed ?? 0), 0),
-	failed: counts.reduce((sum, known) => sum + (known?.failed ?? 0), 0),
+	completed: counts.reduce((sum, entry) => sum + (entry?.completed ?? 0), 0),
+	failed: counts.reduce((sum, entry) => sum + (entry?.failed ?? 0), 0),
 });
 
 /** One job at its coordinator. */
@@ -50,7 +50,7 @@
 	readonly jobId: JobId;
 	readonly file: FileRecord;
 	spec: BatchJobSpec;
-	readonly #base: Counts;
+	readonly #earlierTotals: Counts;
 	readonly #committed = new Map<number, Counts | undefined>();
 	readonly #granted = new Map<number, GrantedChunk>();
 	readonly #missing = new Map<number, MissingChunk>();
@@ -64,16 +64,16 @@
 		this.spec = start.spec;
 		this.file = start.file;
 		this.#startedAt = start.startedAt;
-		this.#base = start.counted ?? noCounts;
+		this.#earlierTotals = start.counted ?? noCounts;
 		this.#nextChunk = start.file.chunks.length - 1;
 		const counted = new Set(start.counted?.chunks);
 		start.committed.forEach(chunk => {
-			// Those counted before are in the base.
+			// Chunks counted by an earlier coordinator are included in its totals.
 			this.#committed.set(chunk, counted.has(chunk) ? noCounts : undefined);
 		});
 	}
 
-	/** Where its results are. */
+	/** The prefix of the names of its results. */
 	get results(): ResultPrefix {
 		return resultPrefix(this.jobId, this.spec);
 	}
@@ -95,7 +95,7 @@
 		return [...this.#missing.values()];
 	}
 
-	/** Items of the chunks that agents hold. */
+	/** Number of items in the chunks that agents hold. */
 	get grantedItems(): number {
 		return this.granted.reduce((sum, {chunk}) => sum + (this.file.chunks[chunk]?.items ?? 0), 0);
 	}
@@ -106,10 +106,10 @@
 
 	/** True when there is a chunk to grant. */
 	get hasGrantableChunk(): boolean {
-		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekFresh() >= 0;
+		return this.#returned.some(chunk => !this.#committed.has(chunk)) || this.#peekUngranted() >= 0;
 	}
 
-	/** Committed chunks whose counts are not known here: results written under an earlier coordinator. */
+	/** Committed chunks whose counts have not been read yet: their results were written under an earlier coordinator. */
 	get uncountedChunks(): readonly number[] {
 		return [...this.#committed].filter(([, counts]) => counts === undefined).map(([chunk]) => chunk);
 	}
@@ -119,16 +119,16 @@
 	}
 
 	/**
-	The next chunk to grant; undefined when all are granted or committed.
+	Takes the next chunk to grant; undefined when all are granted or committed.
 
-	The last come first: chunks grow along a file, so that the small ones are left for the end, when many agents share the few that remain.
+	The last chunks come first: chunks grow along a file, so the small ones remain for the end, when many agents share the few that are left.
 	*/
 	takeChunk(): {readonly chunk: number; readonly isolate: boolean} | undefined {
-		const chunk = this.#takeReturned() ?? this.#takeFresh();
+		const chunk = this.#takeReturned() ?? this.#takeUngranted();
 		return chunk === undefined ? undefined : {chunk, isolate: (this.#losses.get(chunk) ?? 0) >= lossesBeforeIsolation};
 	}
 
-	/** Puts a chunk back that no agent took. */
+	/** Returns a chunk that no agent accepted. */
 	returnChunk(chunk: number): void {
 		this.#granted.delete(chunk);
 		this.#returned.unshift(chunk);
@@ -170,7 +170,7 @@
 		this.#committed.set(chunk, this.#committed.get(chunk) ?? counts);
 	}
 
-	/** The agent no longer has a chunk. */
+	/** Records that the agent no longer has a chunk. */
 	missed(chunk: number, isFault: boolean): void {
 		const granted = this.#granted.get(chunk);
 		if (granted) {
@@ -179,14 +179,14 @@
 		}
 	}
 
-	/** A missing chunk has no result: it must be granted anew. */
+	/** Records that a missing chunk has no result and must be granted again. */
 	lost({chunk, isFault}: MissingChunk): void {
 		this.#missing.delete(chunk);
 		this.#losses.set(chunk, (this.#losses.get(chunk) ?? 0) + (isFault ? 1 : 0));
 		this.#returned.push(chunk);
 	}
 
-	/** Estimated end in milliseconds since 1970; undefined while nothing is done. */
+	/** Estimated end in milliseconds since 1970; undefined while no item has completed or failed. */
 	estimatedEnd(nowMs: number): number | undefined {
 		const {completed, failed} = this.#counts();
 		const done = completed + failed;
@@ -195,7 +195,7 @@
 	}
 
 	/**
-	The job's status. Only committed items are counted: those of a chunk under way are not readable yet, and may never be if the job is cancelled.
+	Returns the job's status. Only committed items are counted: those of a chunk in progress are not readable yet, and may never be if the job is cancelled.
 
 	@param now - Seconds since 1970.
 	*/
@@ -217,7 +217,7 @@
 	}
 
 	#committedCounts(): Counts {
-		return sumOf([this.#base, ...this.#committed.values()]);
+		return sumOf([this.#earlierTotals, ...this.#committed.values()]);
 	}
 
 	#counts(): Counts {
@@ -229,13 +229,13 @@
 		return {chunks, ...this.#committedCounts()};
 	}
 
-	// A chunk that was lost may have been committed after all by the agent that was out of reach.
+	// A lost chunk may have been committed after all by the agent that was unreachable.
 	#takeReturned(): number | undefined {
 		const index = this.#returned.findIndex(chunk => !this.#committed.has(chunk));
 		return index === -1 ? undefined : this.#returned.splice(0, index + 1).at(-1);
 	}
 
-	#peekFresh(): number {
+	#peekUngranted(): number {
 		while (this.#nextChunk >= 0 && (this.#committed.has(this.#nextChunk) || this.#granted.has(this.#nextChunk))) {
 			this.#nextChunk -= 1;
 		}
@@ -243,8 +243,8 @@
 		return this.#nextChunk;
 	}
 
-	#takeFresh(): number | undefined {
-		const chunk = this.#peekFresh();
+	#takeUngranted(): number | undefined {
+		const chunk = this.#peekUngranted();
 		if (chunk < 0) {
 			return undefined;
 		}
--- a/src/common/long-prompts.ts
+++ b/src/common/long-prompts.ts
@@ -1,18 +1,18 @@
 /**
-Batch items whose prompts are too long to be computed beside online work. An engine computes such a prompt over many steps, each far longer than usual, and every online request in it waits with it; cancelling the item is the only way to stop that. So a long prompt gives way while online work is present: it is held back, or taken back before its first token. After a while it gives way no longer, since an accepted item must complete on an engine that is never without online work too.
+Batch items whose prompts are too long to be computed beside online work. An engine computes such a prompt over many steps, each far longer than usual, and delays every online request that it runs; cancelling the item is the only way to stop that. So a long prompt yields while online work is present: it is held back, or preempted before its first token. After {@link yieldPeriodMs} it no longer yields, since an accepted item must also complete on an engine that is never without online work.
 */
 import type {Clock} from './services.js';
 
-/** What is held back: a batch item by its key. */
+/** A batch item that can be held back, by its key. */
 export type LongPrompt = {readonly key: string};
 
-/** How long, in milliseconds since it could first have started, a long prompt gives way. */
+/** Milliseconds for which a long prompt yields, counted from when it could first have started. */
 export const yieldPeriodMs = 60_000;
 
 /** The long prompts of one agent. */
 export class LongPrompts<Item extends LongPrompt> {
 	readonly #clock: Clock;
-	readonly #until = new Map<string, number>();
+	readonly #yieldUntil = new Map<string, number>();
 	#held: Item[] = [];
 
 	constructor(clock: Clock) {
@@ -24,11 +24,11 @@
 		return this.#held.length;
 	}
 
-	/** True while the item is to make way for online work. */
+	/** True while the item has to yield to online work. The first call starts its yield period. */
 	shouldYield({key}: Item): boolean {
-		const until = this.#until.get(key) ?? this.#clock.now() + yieldPeriodMs;
-		this.#until.set(key, until);
-		return this.#clock.now() < until;
+		const yieldUntil = this.#yieldUntil.get(key) ?? this.#clock.now() + yieldPeriodMs;
+		this.#yieldUntil.set(key, yieldUntil);
+		return this.#clock.now() < yieldUntil;
 	}
 
 	/** Holds an item back. */
@@ -36,27 +36,27 @@
 		this.#held.push(item);
 	}
 
-	/** Lets the items go that need not be held back any more, the first first. */
+	/** Releases the items that no longer have to be held back, the oldest first. */
 	release(isOnlinePresent: boolean): Item[] {
 		if (this.#held.length === 0) {
 			return [];
 		}
 
-		const staying = isOnlinePresent ? this.#held.filter(item => this.shouldYield(item)) : [];
-		const released = this.#held.filter(item => !staying.includes(item));
-		this.#held = staying;
+		const stillHeld = isOnlinePresent ? this.#held.filter(item => this.shouldYield(item)) : [];
+		const released = this.#held.filter(item => !stillHeld.includes(item));
+		this.#held = stillHeld;
 		return released;
 	}
 
-	/** Takes an item out that is not to run any more. False when it is not held back. */
+	/** Removes an item that is no longer to run. False when it is not held back. */
 	remove({key}: LongPrompt): boolean {
 		const before = this.#held.length;
 		this.#held = this.#held.filter(item => item.key !== key);
 		return this.#held.length < before;
 	}
 
-	/** Forgets an item that has ended. */
+	/** Discards the yield period of an item that has ended. */
 	clearYieldDeadline(key: string): void {
-		this.#until.delete(key);
+		this.#yieldUntil.delete(key);
 	}
 }
--- a/src/common/request-ledger.steps.ts
+++ b/src/common/request-ledger.steps.ts
@@ -9,7 +9,7 @@
 import type {TestWorld} from './testing/test-world.js';
 
 type Reading = LedgerReader & {readonly chunks: string[]; ended: string | undefined; wasReplaced: boolean};
-type LedgerWorld = TestWorld & {now: number; ledger: RequestLedger; asked: IssuedAttempt; readings: Reading[]};
+type LedgerWorld = TestWorld & {now: number; ledger: RequestLedger; currentAttempt: IssuedAttempt; readings: Reading[]};
 
 const startMs = 1_000_000;
 const deadlineMs = 1000;
@@ -33,7 +33,7 @@
 
 const run = (world: LedgerWorld, id: string, chunks: string) => {
 	const attempt = attemptOf(id);
-	world.asked = attempt;
+	world.currentAttempt = attempt;
 	assert.equal(world.ledger.begin(attempt, deadlineMs), 'new');
 	world.ledger.start(attempt);
 	chunks.split(',').forEach(chunk => {
@@ -45,10 +45,10 @@
 const read = (world: LedgerWorld, name: string, from: number) => {
 	const reading = readingOf(name);
 	world.readings.push(reading);
-	return {reading, isRead: world.ledger.read(world.asked, from, reading)};
+	return {reading, isRead: world.ledger.read(world.currentAttempt, from, reading)};
 };
 
-Given('a ledger that keeps ended answers for {int} seconds and {int} bytes', function (this: LedgerWorld, seconds: number, bytes: number) {
+Given('a ledger that retains ended answers for {int} seconds and {int} bytes', function (this: LedgerWorld, seconds: number, bytes: number) {
 	this.now = startMs;
 	this.readings = [];
 	const clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
@@ -56,8 +56,8 @@
 });
 
 When('the attempt {string} is revoked before it arrives', function (this: LedgerWorld, id: string) {
-	this.asked = attemptOf(id);
-	assert.equal(this.ledger.revoke(this.asked, deadlineMs).state, 'revoked');
+	this.currentAttempt = attemptOf(id);
+	assert.equal(this.ledger.revoke(this.currentAttempt, deadlineMs).state, 'revoked');
 });
 
 When('the attempt {string} runs and ends with the chunks {string}', function (this: LedgerWorld, id: string, chunks: string) {
@@ -76,31 +76,31 @@
 });
 
 When('the attempt {string} begins and {string} and {string} read it', function (this: LedgerWorld, id: string, first: string, second: string) {
-	this.asked = attemptOf(id);
-	this.ledger.begin(this.asked, deadlineMs);
-	this.ledger.start(this.asked);
+	this.currentAttempt = attemptOf(id);
+	this.ledger.begin(this.currentAttempt, deadlineMs);
+	this.ledger.start(this.currentAttempt);
 	read(this, first, 0);
 	read(this, second, 0);
 });
 
 When('it sends the chunk {string}', function (this: LedgerWorld, chunk: string) {
-	this.ledger.append(this.asked, chunk);
+	this.ledger.append(this.currentAttempt, chunk);
 });
 
 When('it sends the chunk {string} and ends', function (this: LedgerWorld, chunk: string) {
-	this.ledger.append(this.asked, chunk);
-	this.ledger.end(this.asked, {event: 'end', data: '{}'});
+	this.ledger.append(this.currentAttempt, chunk);
+	this.ledger.end(this.currentAttempt, {event: 'end', data: '{}'});
 });
 
 When('{string} reads it again from chunk {int}', function (this: LedgerWorld, name: string, from: number) {
 	read(this, name, from);
 });
 
-Then('the ledger says of it {string}', function (this: LedgerWorld, state: string) {
-	assert.equal(this.ledger.revoke(this.asked, deadlineMs).state, state);
+Then('the ledger reports its state as {string}', function (this: LedgerWorld, state: string) {
+	assert.equal(this.ledger.revoke(this.currentAttempt, deadlineMs).state, state);
 });
 
-Then('the attempt {string} may not begin', function (this: LedgerWorld, id: string) {
+Then('the attempt {string} may not start', function (this: LedgerWorld, id: string) {
 	assert.equal(this.ledger.begin(attemptOf(id), deadlineMs), 'revoked');
 });
 
@@ -113,14 +113,14 @@
 	assert.deepEqual([isRead, reading.ended, reading.chunks], [true, event, []]);
 });
 
-Then('the ledger keeps {int} bytes at the most, also after a sweep', function (this: LedgerWorld, bytes: number) {
+Then('the ledger retains at most {int} bytes, also after a sweep', function (this: LedgerWorld, bytes: number) {
 	assert.ok(this.ledger.endedBytes <= bytes);
 	this.now += 20_000;
 	this.ledger.sweep();
 	assert.equal(this.ledger.endedBytes, 0);
 });
 
-Then('each of the {int} attempts is known to have been run', function (this: LedgerWorld, count: number) {
+Then('each of the {int} attempts is recorded as run', function (this: LedgerWorld, count: number) {
 	const states = Array.from({length: count}, (_, i) => this.ledger.revoke(attemptOf(String(i)), deadlineMs).state);
 	assert.deepEqual(new Set(states), new Set(['done']));
 });
--- a/src/common/resource-check.ts
+++ b/src/common/resource-check.ts
@@ -1,20 +1,20 @@
 /**
-Checks the objects that operators and their tools write, where they come in from the object API. The object API takes any value, and citronctl's own check does not bind other writers. Only what this system reads is checked, so that a newer version's additional fields do no harm.
+Validates the objects that operators and their tools write, when they are read from the object API. The object API accepts any value, and citronctl's own check does not bind other writers. Only the fields that this system reads are checked, so that a newer version's additional fields do no harm.
 */
 import {
 	isNonNegativeInteger, isBoolean, isObject, isPositiveNumber, isNonEmptyString, isTimestamp, listOf, oneOf, optional, invalidField, type FieldValidators,
 } from './field-validators.js';
 import type {ObjectKind} from './types.js';
 
-const areTexts = listOf(isNonEmptyString);
+const areNonEmptyStrings = listOf(isNonEmptyString);
 
-const specTests: Partial<Record<ObjectKind, FieldValidators>> = {
+const specValidators: Partial<Record<ObjectKind, FieldValidators>> = {
 	ServedModel: {version: isNonEmptyString, replicas: optional(isNonNegativeInteger), minReady: optional(isNonNegativeInteger)},
 	ModelVersion: {weights: isNonEmptyString, adapter: optional(isNonEmptyString), bytes: optional(isNonNegativeInteger)},
-	OnlineService: {idempotentMethods: optional(areTexts), timeoutMs: optional(isPositiveNumber)},
-	ClientAccount: {keySha256: areTexts, share: optional(isPositiveNumber), maxInFlight: optional(isNonNegativeInteger)},
+	OnlineService: {idempotentMethods: optional(areNonEmptyStrings), timeoutMs: optional(isPositiveNumber)},
+	ClientAccount: {keySha256: areNonEmptyStrings, share: optional(isPositiveNumber), maxInFlight: optional(isNonNegativeInteger)},
 	BackendServer: {
-		type: oneOf('engine', 'service'), models: optional(areTexts), service: optional(isNonEmptyString), checksFence: optional(isBoolean),
+		type: oneOf('engine', 'service'), models: optional(areNonEmptyStrings), service: optional(isNonEmptyString), checksFence: optional(isBoolean),
 	},
 	BatchJob: {
 		account: isNonEmptyString, jobKey: isNonEmptyString, inputFileId: isNonEmptyString, endpoint: isNonEmptyString, dueTime: isTimestamp, createdTime: isTimestamp, cancelled: optional(isBoolean),
@@ -22,24 +22,24 @@
 };
 
 /**
-Checks one object's value.
+Validates one object's value.
 
-@returns What is wrong with it; undefined when it is well formed, or of a kind that only the system itself writes.
+@returns A description of the fault; undefined when the value is well formed, or of a kind that only the system itself writes.
 */
 export const resourceFault = (kind: ObjectKind, name: string, value: unknown): string | undefined => {
-	const tests = specTests[kind];
-	if (!tests) {
+	const validators = specValidators[kind];
+	if (!validators) {
 		return undefined;
 	}
 
 	if (!isObject(value) || !isObject(value.metadata) || !isObject(value.spec)) {
-		return 'wants metadata and spec';
+		return 'metadata or spec is missing or malformed';
 	}
 
 	if (value.metadata.name !== name) {
-		return 'metadata.name is not the object\'s name';
+		return 'metadata.name differs from the object\'s name';
 	}
 
-	const wrong = invalidField(value.spec, tests);
-	return wrong && `spec.${wrong} is missing or malformed`;
+	const invalid = invalidField(value.spec, validators);
+	return invalid && `spec.${invalid} is missing or malformed`;
 };
