--- a/src/gateway/batch/batch-job.ts
+++ b/src/gateway/batch/batch-job.ts
@@ -1,5 +1,5 @@
 /**
-One batch job as its records tell it.
+The state of one batch job, derived from its records.
 */
 import type {Revision} from '../../common/ids.js';
 import type {BatchItemId, BatchJobId, ClientAccountName} from '../types.js';
@@ -7,20 +7,20 @@
 	tokensOf, type ItemSummary, type JobRecord, type PageRecord, type ResultSummary,
 } from './batch-records.js';
 
-/** Where the text of a result stands. */
+/** A result on a page, with the content that holds its text. */
 export type CommittedResult = ResultSummary & {
 	/** The name of the page's content. */
 	readonly content: string;
 };
 
-/** Mutable: the book of jobs writes it, everything else reads. */
+/** Mutable: only the job index modifies it, all other code reads it. */
 export class BatchJob {
 	readonly record: JobRecord;
 	/** The object API's version at which the job was created. */
 	readonly revision: Revision;
-	/** Whether it fitted when it was created. */
+	/** Whether it fitted under the limit of waiting tokens when it was created. */
 	readonly isAdmitted: boolean;
-	/** Whether its record is still to come to stand in the object API: nothing that refers to it may be written before. */
+	/** Whether its record is not in the object API yet; nothing that refers to it may be written before. */
 	readonly isHeld: boolean;
 	readonly tokens: number;
 	readonly #items: ReadonlyMap<BatchItemId, ItemSummary>;
@@ -45,12 +45,12 @@
 		return this.record.job;
 	}
 
-	/** Its results so far, by position. */
+	/** Its committed results, by position. */
 	get results(): readonly CommittedResult[] {
 		return this.#results;
 	}
 
-	/** How many pages there are, which is the number of the next. */
+	/** The number of pages, which is also the number of the next page. */
 	get pageCount(): number {
 		return this.#pages;
 	}
@@ -60,7 +60,7 @@
 		return [...new Set(this.#results.map(({content}) => content))];
 	}
 
-	/** Names of its hand-over records. */
+	/** Names of its handover records. */
 	get handoverRecords(): readonly string[] {
 		return this.#handoverRecords;
 	}
@@ -69,22 +69,22 @@
 		return this.#hasEnded;
 	}
 
-	/** Whether results are still to come. */
+	/** Whether the job was admitted, has not ended and lacks results. */
 	get isOpen(): boolean {
 		return this.isAdmitted && !this.#hasEnded && this.#listed.size < this.#items.size;
 	}
 
-	/** Tokens of its items that have no result. */
+	/** Tokens of its items that have no result; 0 if it was not admitted or has ended. */
 	get waitingTokens(): number {
 		return this.isAdmitted && !this.#hasEnded ? this.tokens - this.#listedTokens : 0;
 	}
 
-	/** Names of the contents that processes which shut down have left. */
+	/** Names of the contents with the progress from processes that shut down. */
 	get handoverContents(): readonly string[] {
 		return this.#handovers;
 	}
 
-	/** Whether the account may read, end and resubmit the job. A job that was accepted without an account is open to all. */
+	/** Whether the account may read, end and resubmit the job. A job that was accepted without an account is accessible to all. */
 	isAccessibleTo(account: ClientAccountName | undefined): boolean {
 		return this.record.account === undefined || this.record.account === account;
 	}
@@ -101,7 +101,11 @@
 		this.#hasEnded = true;
 	}
 
-	/** @returns Whether the page is the next one; any other is known already or not a page of this job. */
+	/**
+	Adds a page if it is the next one.
+
+	@returns Whether it was added; any other page has been added before or is not a page of this job.
+	*/
 	addPage({number, results, content}: PageRecord): boolean {
 		if (number !== this.#pages) {
 			return false;
@@ -115,15 +119,15 @@
 	}
 
 	/**
-	@param content - The name of what was left.
-	@param record - The name of the record that says so.
+	@param content - The name of the content with the progress.
+	@param record - The name of the handover record.
 	*/
 	addHandover(content: string, record: string): void {
 		this.#handovers.push(content);
 		this.#handoverRecords.push(record);
 	}
 
-	/** An item has one position: a second result for it, which no writer makes, would be left out. */
+	/** An item has one position: a second result for it, which no writer creates, would be ignored. */
 	#add(result: CommittedResult) {
 		const item = this.#items.get(result.id);
 		if (item && !this.#listed.has(result.id)) {
--- a/src/gateway/batch/batch-policy.ts
+++ b/src/gateway/batch/batch-policy.ts
@@ -1,39 +1,39 @@
 /**
-Who of the waiting batch items gets a place, and how many places a process takes at once. Pure: it reads no clock and sends nothing.
+The scheduling policy for batch items: which of the waiting items gets a slot, and how many slots a process takes in one review. Pure: it reads no clock and sends nothing.
 
-It answers two patterns of load. *More work than places*: online calls come in waves that fill all places for seconds, and what is left does not suffice for all items by their due times; then an item that can still be on time goes before one that cannot, or all would be late together. *Many processes, few places*: each sees the others' runs some ten milliseconds late, and if each filled what it sees as free, a place would be taken many times over, the replicas would refuse most of it, and refusals cost connections; so each takes its share of what is free, and the rest at its next look.
+It handles two patterns of load. *More work than slots*: online calls come in waves that fill all slots for seconds, and the rest does not suffice for all items by their due times; an item that can still be on time then precedes one that cannot, or all would be late together. *Many processes, few slots*: each process sees the others' runs some ten milliseconds late, and if each filled all slots that it sees free, a slot would be taken many times over, the replicas would refuse most of the runs, and refusals cost connections; so each takes its share of the free slots, and the rest in its next review.
 */
 
-/** An item that waits. */
+/** An item that waits for a slot. */
 export type WaitingItem = {
 	/** When it is due, in milliseconds of the wall clock. */
 	readonly dueAt: number;
-	/** Events that are known of its text. */
+	/** Events of its text that have been received so far. */
 	readonly events: number;
 };
 
-/** How long runs take, learnt from those that ended; in milliseconds and events. */
+/** An estimate of run times from the runs that have ended, in milliseconds and events. */
 export type RunEstimate = {
 	readonly msPerEvent: number;
 	readonly eventsPerItem: number;
-	/** How many times as long as it ran an item took from its first place to its end: it is cut off by waves of calls, and waits for its next place. */
+	/** The time from an item's first slot to its end as a multiple of the time that it ran: waves of calls preempt it, and it waits for its next slot. */
 	readonly slowdown: number;
-	/** How far single items are from that, on the mean. */
+	/** The mean absolute deviation of single items from the slowdown. */
 	readonly slowdownDeviation: number;
 };
 
-/** Until runs have ended: an engine step of some ms brings several tokens, and an event some steps. The stretch is that of the model of waves at the load that its places just suffice for; without one, a process that has just started begins items that the next wave makes late. */
+/** Used until runs have ended: an engine step of a few ms yields several tokens, and an event takes a few steps. The slowdown is that of the wave model at the load for which its slots just suffice; without it, a process that has just started begins items that the next wave makes late. */
 export const initialRunEstimate: RunEstimate = {
 	msPerEvent: 30, eventsPerItem: 150, slowdown: 1.5, slowdownDeviation: 0.25,
 };
 
-/** A new observation counts for this share: the last ten runs or so decide. */
+/** The weight of a new observation in the moving averages: about the last ten runs decide. */
 const learningShare = 0.1;
 
-/** Deviations beyond the mean stretch that an item must have time for: about one in twenty items takes longer. */
+/** An item must have time for the mean slowdown plus this many deviations: about one in twenty items takes longer. */
 const sureDeviations = 2;
 
-/** @returns What is known after one more run, of `events` events in `elapsedMs`, which brought an item to its end with `total` events. */
+/** @returns The estimate after one more run, of `events` events in `elapsedMs`, which completed an item with `total` events. */
 export const updateEstimate = (known: RunEstimate, {events, elapsedMs, total}: {events: number; elapsedMs: number; total: number}): RunEstimate => events === 0
 	? known
 	: {
@@ -42,7 +42,7 @@
 		eventsPerItem: known.eventsPerItem + (learningShare * (total - known.eventsPerItem)),
 	};
 
-/** @returns What is known after an item was done `elapsedMs` after its first place, of which it ran `ranMs`. */
+/** @returns The estimate after an item was completed `elapsedMs` after its first slot, of which it ran `ranMs`. */
 export const updateSlowdown = (known: RunEstimate, {elapsedMs, ranMs}: {elapsedMs: number; ranMs: number}): RunEstimate => {
 	const stretch = Math.max(1, elapsedMs / Math.max(1, ranMs));
 	return {
@@ -52,13 +52,13 @@
 	};
 };
 
-/** Milliseconds that an item still needs at a replica. */
+/** The estimated milliseconds that an item still has to run at a replica. */
 export const remainingMs = ({events}: WaitingItem, {msPerEvent, eventsPerItem}: RunEstimate): number => Math.max(1, eventsPerItem - events) * msPerEvent;
 
 /**
-Milliseconds that an item can still wait and be on time; negative when it will most likely be late.
+Milliseconds that an item can still wait and be on time; negative if it will most likely be late.
 
-With more work than places, the items that have just enough time for an undisturbed run are the first in the order of due times, and each wave of calls that cuts them off makes them late all the same, by a second or two. So an item counts as on time only with the interruptions that items have just now, and twice their deviation (batch-policy.feature).
+With more work than slots, the items that have just enough time for an uninterrupted run come first in the order of due times, and each wave of calls that preempts them makes them late all the same, by a second or two. So an item counts as on time only if its time also suffices for the current slowdown by interruptions plus twice its deviation (batch-policy.feature).
 */
 export const slackMs = (item: WaitingItem, length: RunEstimate, wallNow: number): number => {
 	const {slowdown: stretch, slowdownDeviation: stretchDeviation} = length;
@@ -66,7 +66,7 @@
 };
 
 /**
-The order of places: items that can be on time, the one that is due first before the others; then the late ones, the one with least work left before the others.
+The order in which items get slots: those that can be on time, by due time; then the late ones, the one with the least work left first.
 */
 export const byUrgency = (length: RunEstimate, wallNow: number) => (a: WaitingItem, b: WaitingItem): number => {
 	const isLateA = slackMs(a, length, wallNow) < 0;
@@ -79,7 +79,7 @@
 };
 
 /**
-Places of each replica that items leave free for the next online calls, so that these need not wait until an item has been cut off. With time to spare two are left, as many calls as come to a replica within the tenth of a second that a cut may take; the closer an item is to its time, the fewer.
+Slots of each replica that items leave free for the next online calls, so that these need not wait until an item has been preempted. With time to spare two are left, as many calls as arrive at a replica within the tenth of a second that preemption may take; the closer an item is to its due time, the fewer.
 */
 const reserveSteps: ReadonlyArray<{readonly slackMs: number; readonly places: number}> = [
 	{slackMs: 8000, places: 2},
@@ -89,9 +89,9 @@
 /** @param slack - See {@link slackMs}. */
 export const reservedSlots = (slack: number): number => reserveSteps.find(step => slack >= step.slackMs)?.places ?? 0;
 
-/** Items that wait for a place. */
+/** The numbers of items that wait for a slot. */
 export type WaitingCounts = {
-	/** Those that can still be on time. */
+	/** Items that can still be on time. */
 	readonly timely: number;
 	readonly late: number;
 };
@@ -102,20 +102,20 @@
 	return {timely, late: items.length - timely};
 };
 
-/** Share of the places that late items keep while timely ones wait, so that they come to their end, and that no place stays idle for long where a process cannot run the timely items that it counts, because it does not reach the replicas. */
+/** The share of the slots that late items keep while timely ones wait, so that they are completed, and so that no slot stays idle for long if a process cannot run the timely items that it counts, because it does not reach the replicas. */
 const shareOfLate = 0.05;
 
 const partOf = (places: number, own: number, all: number): number => all === 0 ? 0 : places * own / all;
 
 /**
-Places that one process takes at a look: its part of those that items need which can be on time, by how many of these are its own, and its part of what these leave.
+The number of slots that one process takes in one review: its share of the slots that timely items need, in proportion to its own timely items, and its share of the slots that these leave.
 
-The pattern: a fleet has work for more places than it has, and each process knows only its own items. If all take equal shares, those whose items are all late run them in places in which the items of others could have been on time (batch-policy.feature).
+The pattern: a fleet has more work than slots, and each process schedules only its own items. If all took equal shares, processes whose items are all late would run them in slots in which the items of others could have been on time (batch-policy.feature).
 
-@param free - Places that it sees free, over all replicas.
+@param free - Slots that it sees free, over all replicas.
 @param own - Its own items.
 @param all - The items of all processes, its own included.
-@param chance - A number in [0, 1): a share below one place is taken as often as it is large.
+@param chance - A random number in [0, 1): the fraction of a slot in the share is the probability of taking one more.
 */
 export const slotAllowance = (free: number, {own, all}: {readonly own: WaitingCounts; readonly all: WaitingCounts}, chance: number): number => {
 	const keptForLate = all.late > 0 ? shareOfLate * free : 0;
--- a/src/gateway/batch/batch-records.ts
+++ b/src/gateway/batch/batch-records.ts
@@ -1,7 +1,7 @@
 /**
-What lasts of a batch job: a record of its submission, pages of its results, and a record of its end. Each is created once and never changed, so that no holder that was paused can undo another's write, and a write whose answer was lost may simply be made again.
+The stored form of a batch job: a record of its submission, pages of its results, and a record of its end. Each is created once and never changed, so a holder that was paused cannot undo another's write, and a write whose answer was lost can simply be repeated.
 
-Records are short, since every process follows all of them. Prompts and texts stand in contents, each written before the record that names it and read only by those who need it: a process with a narrow link would otherwise spend seconds after its start on texts that nobody asks it for.
+Records are short, since every process watches all of them. Prompts and outputs are stored as contents, each written before the record that names it and read only by the processes that need it; otherwise a process with a narrow link would spend seconds after its start on texts that nobody requests from it.
 */
 import {
 	isNonNegativeNumber, isNonNegativeInteger, isBoolean, isObject, isString, isNonEmptyString, listOf, objectOf, oneOf, optional, type FieldValidator,
@@ -10,7 +10,7 @@
 import type {BatchItemId, BatchJobId, ClientAccountName} from '../types.js';
 import type {FailedRun} from './failed-runs.js';
 
-/** One item as its caller handed it in. */
+/** One item as its caller submitted it. */
 export type BatchItem = {
 	readonly id: BatchItemId;
 	/** Path and query at the replica. */
@@ -18,18 +18,18 @@
 	readonly headers: ReadonlyArray<readonly [name: string, value: string]>;
 	/** Base64. */
 	readonly body: string;
-	/** Of the prompt and of the longest output, summed. */
+	/** Tokens of the prompt and of the longest possible output, summed. */
 	readonly tokens: number;
 };
 
-/** What every process knows of an item. */
+/** The part of an item that every process caches. */
 export type ItemSummary = Pick<BatchItem, 'id' | 'tokens'>;
 
 /** A job as it was accepted. */
 export type JobRecord = {
 	readonly type: 'job';
 	readonly job: BatchJobId;
-	/** Whose job it is; missing where there were no accounts, or the route takes jobs without a key. */
+	/** The account that owns the job; missing if there were no accounts, or the route accepts jobs without a key. */
 	readonly account?: ClientAccountName;
 	/** The name of its route. */
 	readonly route: string;
@@ -37,11 +37,11 @@
 	readonly host: string;
 	/** The path that it was sent to, by which its route is found. */
 	readonly target: string;
-	/** Wall clock of the process that took it in, in milliseconds. */
+	/** Wall clock of the process that accepted it, in milliseconds. */
 	readonly submittedAt: number;
-	/** Tokens of its account that could wait on the route then; 0 for no limit. */
+	/** The limit of its account's waiting tokens on the route at that time; 0 for no limit. */
 	readonly maxWaitingTokens: number;
-	/** Whether the process that took it in saw so much room that nothing written at the same time could fill it. */
+	/** Whether the process that accepted it saw so much room that concurrent writes could not fill it. */
 	readonly isRoomy: boolean;
 	readonly items: readonly ItemSummary[];
 	/** The name of its {@link JobContent}. */
@@ -54,7 +54,7 @@
 	readonly items: readonly BatchItem[];
 };
 
-/** What became of an item. */
+/** The result of an item. */
 export type ItemResult = {
 	readonly id: BatchItemId;
 	readonly state: 'completed' | 'errored';
@@ -62,10 +62,10 @@
 	readonly output: string;
 };
 
-/** What every process knows of a result. */
+/** The part of a result that every process caches. */
 export type ResultSummary = Pick<ItemResult, 'id' | 'state'>;
 
-/** Results in the order of their positions. Page n + 1 begins where page n ends. */
+/** A page of results in the order of their positions. Page n + 1 begins where page n ends. */
 export type PageRecord = {
 	readonly type: 'page';
 	readonly job: BatchJobId;
@@ -82,22 +82,22 @@
 	readonly results: readonly ItemResult[];
 };
 
-/** The job's caller wants no more of it. */
+/** The job was ended by its caller. */
 export type EndRecord = {
 	readonly type: 'end';
 	readonly job: BatchJobId;
 };
 
-/** What an item's run had brought when its process shut down; the next run goes on from there. */
+/** The progress of an item when its process shut down; the next run resumes from it. */
 export type ItemProgress = {
 	readonly id: BatchItemId;
 	/** The data of the events from the first on. */
 	readonly events: readonly string[];
-	/** Runs that a replica ended with a failure, as far as the process knew. */
+	/** Runs that a replica ended with a failure, as far as the process had recorded them. */
 	readonly failedRuns: readonly FailedRun[];
 };
 
-/** What a process that shuts down leaves to the one that runs the job next. */
+/** Names the progress that a process wrote at shutdown for the next one to run the job. */
 export type HandoverRecord = {
 	readonly type: 'handover';
 	readonly job: BatchJobId;
@@ -142,12 +142,12 @@
 	}),
 };
 
-/** @returns The record, or nothing where the value is none: another version of the program may have written it. */
+/** @returns The record, or nothing if the value is not a valid one: another version of the program may have written it. */
 export const readRecord = (value: unknown): BatchRecord | undefined => isObject(value) && recordTests[String(value.type)]?.(value)
 	? value as BatchRecord
 	: undefined;
 
-/** @returns The content, or nothing where the value is none of the type. */
+/** @returns The content, or nothing if the value is not a valid content of the type. */
 export const readContent = <T extends BatchContent['type']>(type: T, value: unknown): Extract<BatchContent, {type: T}> | undefined => isObject(value) && value.type === type && contentTests[type](value)
 	? value as Extract<BatchContent, {type: T}>
 	: undefined;
--- a/src/gateway/batch/batch-retention.ts
+++ b/src/gateway/batch/batch-retention.ts
@@ -1,5 +1,5 @@
 /**
-Removes what is kept of batch jobs whose results need not be readable any longer. The job's own record goes last: as long as it stands, whoever comes next finds what is still to be removed.
+Removes the records and contents of batch jobs whose retention time is over. A job's own record is removed last: while it exists, the next process finds what is still to be removed.
 */
 import {errorOf} from '../../common/error-of.js';
 import {rankMembers} from '../../common/rendezvous.js';
@@ -14,7 +14,7 @@
 import type {BatchJob} from './batch-job.js';
 import {recordNames} from './batch-records.js';
 
-/** What retention reads and writes. */
+/** Dependencies and settings of the retention. */
 export type RetentionParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
@@ -22,19 +22,19 @@
 	readonly peers: PeerTable;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** Milliseconds after its submission for which a finished job can be read. */
+	/** Milliseconds after its submission during which a finished job can be read. */
 	readonly resultRetentionMs: number;
 };
 
-/** How often jobs are looked through, in milliseconds; one that stays some seconds longer costs nothing. */
+/** The interval between sweeps, in milliseconds; a job that stays some seconds longer costs nothing. */
 const lookMs = 10_000;
 
-/** Wall clocks of two processes may differ by this much, in milliseconds. */
+/** The wall clocks of two processes may differ by this much, in milliseconds. */
 const clockSlackMs = 5000;
 
 type Removal = {readonly kind: ObjectKind; readonly name: string};
 
-/** All that belongs to a job, its own record last. */
+/** All objects that belong to a job, its own record last. */
 const removalsOf = (job: BatchJob): Removal[] => [
 	...[...job.pageContents, ...job.handoverContents, job.record.content].map(name => ({kind: 'BatchContent' as const, name})),
 	...Array.from({length: job.pageCount}, (_, number) => ({kind: 'BatchRecord' as const, name: recordNames.page(job.id, number)})),
@@ -59,7 +59,7 @@
 		}, lookMs);
 	}
 
-	/** Removes the jobs whose time is over and that fall to this process. */
+	/** Removes the expired jobs for which this process ranks first. */
 	async removeExpired(): Promise<void> {
 		if (this.#isBusy) {
 			return;
@@ -88,7 +88,7 @@
 		return rankMembers(id, [self, ...peers.live.map(({state}) => state.member)])[0] === self;
 	}
 
-	/** What is gone already was removed by a process before this one. Any other failure ends this try; the next look goes on. */
+	/** An object that does not exist was removed by another process before. Any other failure ends this attempt; the next sweep continues. */
 	async #remove(job: BatchJob): Promise<void> {
 		const {api, log} = this.#parts;
 		for (const {kind, name} of removalsOf(job)) {
--- a/src/gateway/batch/batch-runner.ts
+++ b/src/gateway/batch/batch-runner.ts
@@ -1,5 +1,5 @@
 /**
-Runs the items of the jobs that this process has claimed, in the places that online calls leave free, and gives places back as soon as online calls need them. An item that is cut off goes on later from its last event, so what is lost is the reading of its prompt.
+Runs the items of the jobs that this process has claimed, in slots that online calls leave free, and releases slots as soon as online calls need them. A preempted item resumes later after its last event, so only the prefill of its prompt is lost.
 */
 import {Buffer} from 'node:buffer';
 import type {
@@ -43,10 +43,10 @@
 import {JobRoutePolicy} from './job-route-policy.js';
 import {SlotFinder, type SlotRequest} from './slot-finder.js';
 
-/** How the headers of an item are put together. */
+/** Builds the headers with which an item is sent. */
 export type ItemHeaderBuilder = (host: string, itemId: string, headers: BatchItem['headers']) => string[];
 
-/** What the runner reads and writes. */
+/** Dependencies of the runner. */
 export type BatchRunnerParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
@@ -59,7 +59,7 @@
 	readonly failedRuns: FailedRuns;
 	readonly board: ConfigBoard;
 	readonly directory: ReplicaDirectory;
-	/** Of the directory. */
+	/** Freshness of the directory. */
 	readonly replicaFreshness: FeedFreshness;
 	readonly loads: LoadBoard;
 	readonly connectionPools: ReplicaConnectionPools;
@@ -74,25 +74,25 @@
 	readonly failureDomain: string;
 };
 
-/** An item that waits for a place. */
+/** An item that waits for a slot. */
 type WaitingPlace = SlotRequest & {
 	readonly run: JobRun;
 	readonly job: BatchJob;
 	readonly state: ItemState;
 };
 
-/** A place that was found for an item. */
+/** An item with the replica at which a slot was found for it. */
 type ItemPlace = WaitingPlace & {
 	readonly replica: Replica;
 };
 
-/** Changes of load come in bursts; the free places are looked at once for all that come within this many milliseconds. */
+/** Changes of load come in bursts; free slots are reviewed once for all changes within this many milliseconds. */
 const burstMs = 10;
 
-/** After places were taken, the peers must have heard of it before more are; a message travels for this long at most within a region, in milliseconds. */
+/** After slots were taken, the peers must have received this before more are taken; a message takes at most this long within a region, in milliseconds. */
 const travelMs = 20;
 
-/** Without any change, milliseconds until free places and claims are looked at again. */
+/** Without any change, milliseconds until free slots and claims are reviewed again. */
 const reviewMs = 150;
 
 const groupByRoute = (items: readonly WaitingPlace[]): ReadonlyMap<string, readonly WaitingPlace[]> => {
@@ -159,12 +159,12 @@
 		});
 	}
 
-	/** Items that waited for a place at the last look. */
+	/** The numbers of items that waited for a slot at the last review, by route. */
 	get waiting(): readonly SharedWaiting[] {
 		return this.#waiting;
 	}
 
-	/** Begins to run items. */
+	/** Starts to review claims and to run items. */
 	start(): void {
 		this.#review = setInterval(() => {
 			this.#takeClaims();
@@ -172,7 +172,7 @@
 		}, reviewMs);
 	}
 
-	/** Gives all jobs away, with what is known of their items, and cuts their runs off. */
+	/** Cancels all runs and hands the jobs over to peers, with the progress of their items. */
 	async handOver(): Promise<void> {
 		this.#isStopped = true;
 		this.#waiting = [];
@@ -182,7 +182,7 @@
 	/**
 	Takes a job over from a process that shuts down.
 
-	@returns False when this process shuts down itself.
+	@returns False if this process shuts down itself.
 	*/
 	takeOver(handover: JobHandover): boolean {
 		const isTaken = this.#runs.takeOver(handover);
@@ -215,7 +215,7 @@
 		this.#fillSoon();
 	}
 
-	/** The runs that have brought least are cut off, since they lose least by it. */
+	/** Preempts the runs with the fewest events, since they lose the least work. */
 	#cut(replica: Replica, count: number) {
 		this.#runs.all
 			.flatMap(run => run.running)
@@ -234,7 +234,7 @@
 		}, Math.max(burstMs, this.#nextFillAt - now));
 	}
 
-	/** Fills this process's share of the free places, with the most urgent items. */
+	/** Fills this process's share of the free slots with the most urgent items. */
 	#fill() {
 		clearTimeout(this.#pending);
 		this.#pending = undefined;
@@ -308,7 +308,7 @@
 		return state.trackedContent;
 	}
 
-	/** @returns Whether a place was found. */
+	/** @returns Whether a slot was found. */
 	#start(item: WaitingPlace): boolean {
 		const place = this.#finder.findSlot(item, this.#runLength);
 		if (place) {
@@ -358,12 +358,12 @@
 		state.run.start();
 	}
 
-	/** A job keeps its account when operators take its key away, or declare no accounts any more. */
+	/** A job keeps its account even if operators revoke the key or no longer declare any accounts. */
 	#callerOf({record: {account}}: BatchJob): CallerIdentity | undefined {
 		return account !== undefined || this.#parts.board.accounts ? {account} : undefined;
 	}
 
-	/** An item that was late has waited behind those that could be on time, and says nothing of how long these take. */
+	/** A late item has waited behind those that could be on time, so it is no sample of how long these take. */
 	#learn({dueAt, state: {firstStartedAt: begunAt = 0, ranMs}}: ItemPlace, lastRun: {events: number; elapsedMs: number; total: number}) {
 		const {clock} = this.#parts;
 		const length = updateEstimate(this.#runLength, lastRun);
--- a/src/gateway/batch/content-store.ts
+++ b/src/gateway/batch/content-store.ts
@@ -1,5 +1,5 @@
 /**
-Prompts and texts of batch jobs: written once under a name that no other writer uses, read by name, and kept in memory for a while, since what was written or read is often asked for again soon.
+Stores prompts and outputs of batch jobs in the object API, each written once under a unique name. Contents that were written or read are cached in memory, since they are often requested again soon.
 */
 import {randomUUID} from 'node:crypto';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -9,7 +9,7 @@
 import type {BatchJobId} from '../types.js';
 import {readContent, type BatchContent} from './batch-records.js';
 
-/** Contents that are kept, in characters: some hundred results, a small part of what a front may use. */
+/** The size limit of the cache, in characters: some hundred results, a small part of the memory that a front may use. */
 const maxKeptCharacters = 6_000_000;
 
 type Kept = {readonly content: BatchContent; readonly size: number};
@@ -25,7 +25,7 @@
 /** See the module's head. */
 export class ContentStore {
 	readonly #api: ObjectApi;
-	/** The least recently used first. */
+	/** In the order of last use, the least recently used first. */
 	readonly #kept = new Map<string, Kept>();
 	#size = 0;
 
@@ -33,12 +33,12 @@
 		this.#api = api;
 	}
 
-	/** A name that no other process gives. */
+	/** Generates a name that no other process uses. */
 	newName(job: BatchJobId): string {
 		return `${job}-${randomUUID()}`;
 	}
 
-	/** Writes a content. Under a name of its own the same write may be made again when its answer was lost. */
+	/** Writes a content. Since its name is unique, a write whose answer was lost can be repeated: a conflict means that it succeeded. */
 	async write(name: string, content: BatchContent): Promise<Either<ApiError, void>> {
 		const created = await this.#api.create('BatchContent', name, content);
 		const err = errorOf(created);
@@ -50,7 +50,7 @@
 		return Right(undefined);
 	}
 
-	/** Keeps a content that is to be written later by others. */
+	/** Caches a content that keepers will write later. */
 	keep(name: string, content: BatchContent): void {
 		this.#keep(name, content);
 	}
@@ -62,13 +62,13 @@
 			return Right(kept.content as Extract<BatchContent, {type: T}>);
 		}
 
-		// A content never changes, so a copy that lags can at most lack it.
+		// A content never changes, so a lagging copy can at most lack it.
 		const copy = await this.#api.get('BatchContent', name, {mayLag: true});
 		const found = copy.isLeft() ? await this.#api.get('BatchContent', name) : copy;
 		return found.chain<ApiError, Extract<BatchContent, {type: T}>>(({value}) => {
 			const content = readContent(type, value);
 			if (!content) {
-				return Left({kind: 'unavailable', reason: 'a content that can not be read'});
+				return Left({kind: 'unavailable', reason: 'stored content is invalid'});
 			}
 
 			this.#keep(name, content);
@@ -76,7 +76,7 @@
 		});
 	}
 
-	/** Removes a content that no record names. One that stays behind costs room until its job is removed. */
+	/** Removes a content that no record names. If the removal fails, the content takes up storage until its job is removed. */
 	async drop(name: string): Promise<void> {
 		this.#forget(name);
 		await this.#api.remove('BatchContent', name);
--- a/src/gateway/batch/failed-runs.ts
+++ b/src/gateway/batch/failed-runs.ts
@@ -1,14 +1,14 @@
 /**
-Runs of batch items that a replica has ended with a failure, whichever process had sent them: part of the blackboard. Processes tell each other of each such run, by a name of its own, so that it counts once however often it is told.
+Runs of batch items that a replica has ended with a failure, from all processes; part of the blackboard. Processes announce each such run to each other under a unique id, so that it counts once however often it is received.
 
-A route allows an item so many failures. A process that counted for itself took its count with it when it was killed, or when it let a job go that another one runs as well; the next one began at nothing, and the item took places from others for runs that were bound to fail.
+A route allows an item a limited number of failures. If each process counted for itself, its count would be lost when it was killed, or when it released a job that another process runs as well; the next process would start from zero, and the item would take slots from others for runs that are bound to fail.
 */
 import {EventEmitter} from 'node:events';
 import {branded, type Branded} from '../../common/ids.js';
 import type {Clock} from '../../common/services.js';
 import type {BatchItemId, MemberName, ReplicaId} from '../types.js';
 
-/** Names one run; the same at every process. */
+/** Identifies one run; the same at every process. */
 export type FailedRunId = Branded<string, 'FailedRunId'>;
 
 /** One run that failed. */
@@ -18,26 +18,26 @@
 	readonly replica: ReplicaId;
 };
 
-/** What the table needs. */
+/** Dependencies of the table. */
 export type FailedRunsParts = {
 	readonly self: MemberName;
 	readonly clock: Clock;
 };
 
-/** A run is told anew with each of several messages for this long, in milliseconds, so that none is missed for the loss of a few. */
+/** A run is announced again in each message for this long, in milliseconds, so that the loss of a few messages does not lose it. */
 const tellMs = 2000;
 
-/** Runs in one message, the newest; about 6 kB. */
+/** The maximum number of runs in one message, the newest ones; about 6 kB. */
 const maxTold = 60;
 
-/** Items that are remembered; those whose last failure is longest ago are forgotten first. Thousands of items fail while replicas are at fault, and each is over or tried again within a minute. */
+/** The maximum number of items in the table; those whose last failure is the oldest are evicted first. Thousands of items fail while replicas are faulty, and each is finished or tried again within a minute. */
 const maxItems = 5000;
 
 /** See the module's head. */
 export class FailedRuns {
 	readonly #parts: FailedRunsParts;
 	readonly #events = new EventEmitter();
-	/** By item; that of the last failure comes last. */
+	/** By item, in the order of the last failure. */
 	readonly #byItem = new Map<BatchItemId, ReadonlyMap<FailedRunId, FailedRun>>();
 	readonly #startedAt: number;
 	#count = 0;
@@ -48,12 +48,12 @@
 		this.#startedAt = parts.clock.wall();
 	}
 
-	/** Calls the listener when there is something to tell peers soon. */
+	/** Calls the listener when there is something to announce to peers soon. */
 	onAnnouncementDue(listener: () => void): void {
 		this.#events.on('news', listener);
 	}
 
-	/** A replica has ended a run of this process with a failure. */
+	/** Adds a run of this process that a replica has ended with a failure. */
 	addOwn(item: BatchItemId, replica: ReplicaId): void {
 		this.#count += 1;
 		const run = branded<FailedRunId>(`${this.#parts.self}/${this.#startedAt}/${this.#count}`);
@@ -64,24 +64,24 @@
 		this.#events.emit('news');
 	}
 
-	/** Takes over what a peer tells, or what the former holder of a job has left. */
+	/** Adds runs received from a peer or from the former holder of a job. */
 	addReceived(runs: readonly FailedRun[]): void {
 		runs.forEach(run => {
 			this.#take(run);
 		});
 	}
 
-	/** Runs of an item that have failed. */
+	/** The failed runs of an item. */
 	of(item: BatchItemId): readonly FailedRun[] {
 		return [...this.#byItem.get(item)?.values() ?? []];
 	}
 
-	/** How many runs of an item have failed. */
+	/** The number of failed runs of an item. */
 	countOf(item: BatchItemId): number {
 		return this.#byItem.get(item)?.size ?? 0;
 	}
 
-	/** What this process's peers are to be told; nothing while nothing has failed of late. */
+	/** The runs to announce to peers; nothing if none has failed recently. */
 	announcement(): readonly FailedRun[] | undefined {
 		const since = this.#parts.clock.now() - tellMs;
 		this.#told = this.#told.filter(({at}) => at > since);
--- a/src/gateway/batch/item-run.ts
+++ b/src/gateway/batch/item-run.ts
@@ -1,5 +1,5 @@
 /**
-One run of a batch item at a replica: from the event after those that are known to the end of the stream, or until the run is cut off for an online call.
+One run of a batch item at a replica. It resumes after the last event received by earlier runs and lasts until the end of the stream, or until it is preempted by an online call.
 */
 import {Buffer} from 'node:buffer';
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
@@ -15,14 +15,14 @@
 import type {BatchItem} from './batch-records.js';
 
 /**
-What came of a run. `finished`: the whole text is known. `failed`: the replica answered that the run failed. `hopeless`: it answered that the item can never be done. `declined`: it has not run. `unreachable` and `misdirected`: nor that, since no connection could be made, or another replica has the address. `lost`: its connection broke. `broken`: the replica fell silent, or sent what cannot be used. After these two, what is known of the text can be gone on from.
+The outcome of a run. `finished`: the text is complete. `failed`: the replica answered that the run failed. `hopeless`: it answered that the item can never succeed. `declined`: it did not run the item. `unreachable` and `misdirected`: nor was the item run, since no connection could be made, or another replica has the address. `lost`: the connection broke. `broken`: the replica became unresponsive, or sent unusable data. After these two, the next run can resume from the text received so far. `cut`: this process cancelled the run.
 */
 export type ItemRunEnd = 'finished' | 'failed' | 'hopeless' | 'declined' | 'unreachable' | 'misdirected' | 'lost' | 'broken' | 'cut';
 
-/** Hears the end of a run, once. */
+/** Is called once, at the end of a run. */
 export type ItemRunListener = (end: ItemRunEnd, reason: string) => void;
 
-/** What a run is made of. */
+/** Dependencies and parameters of a run. */
 export type ItemRunParts = {
 	readonly item: BatchItem;
 	readonly replica: Replica;
@@ -32,21 +32,21 @@
 	readonly dialect: CallDialect;
 	/** See `Attempt`. */
 	readonly isCurrent: () => boolean;
-	/** Names and values by turns. */
+	/** Names and values, alternating. */
 	readonly headers: readonly string[];
-	/** The data of the events that are known already. The run adds to them. */
+	/** The data of the events received so far. The run appends to them. */
 	readonly events: string[];
-	/** Whose item it is, where there are accounts. */
+	/** The owner of the item, if there are accounts. */
 	readonly caller?: CallerIdentity;
 	readonly onEnd: ItemRunListener;
 };
 
-/** An engine may be full of online calls for a second or two; a run without a byte for longer than this, in milliseconds, has lost its replica or its connection. */
+/** An engine may be full of online calls for a second or two; a run that receives no byte for longer than `silenceMs` has lost its replica or its connection. */
 const patience: AttemptTimeouts = {silenceMs: 2500, canGoElsewhere: true};
 
 const lineEnd = /\r\n?/gv;
 
-/** How every item is sent. */
+/** The HTTP method with which every item is sent. */
 export const itemMethod = 'POST';
 
 const statusEnds: Readonly<Record<number, ItemRunEnd>> = {
@@ -78,7 +78,7 @@
 	});
 
 	#head: AnswerHead | undefined;
-	/** Whether an event has come that does not follow the last one: it belongs to another run. */
+	/** Whether an event was received that does not follow the last one: it belongs to another run. */
 	#hasStrayEvent = false;
 	#isOver = false;
 
@@ -116,29 +116,29 @@
 		});
 	}
 
-	/** Sends. The end may be told before this returns. */
+	/** Sends the item. The listener of the end may be called before this returns. */
 	start(): void {
 		this.#attempt.start();
 	}
 
-	/** Events known by now, those of earlier runs included. */
+	/** The number of events received so far, including those of earlier runs. */
 	get progress(): number {
 		return this.#parts.events.length;
 	}
 
-	/** Cuts the run off; what it has brought stays. */
+	/** Cancels the run; the events received so far are retained. */
 	dispose(): void {
 		this.#attempt.dispose();
 	}
 
 	#onBytes(bytes: Buffer) {
 		if (this.#isStream && !this.#hasStrayEvent) {
-			// After a CR alone the parser waits for what comes next, and would never tell of the last event.
+			// After a lone CR the parser waits for the next character, and would never emit the last event.
 			this.#parser.feed(this.#framer.feed(bytes).toString().replaceAll(lineEnd, '\n'));
 		}
 	}
 
-	/** Events count from 1 without gaps. */
+	/** The ids of events count from 1 without gaps. */
 	#onEvent({id, data}: EventSourceMessage) {
 		const {events} = this.#parts;
 		this.#hasStrayEvent ||= Number(id) !== events.length + 1;
@@ -173,7 +173,7 @@
 		return statusEnds[this.#head?.status ?? 0] ?? 'broken';
 	}
 
-	/** Only a length, or the mark of the last chunk, tells that a text is whole; a text without either may have been cut anywhere. */
+	/** Only a content length or a terminating chunk proves that a text is complete; without either it may have been truncated anywhere. */
 	get #isWholeText(): boolean {
 		const isInOrder = this.#framer.isInOrder && !this.#hasStrayEvent;
 		return isInOrder && !this.#framer.hasPartialEvent && this.#head?.isFramed === true;
--- a/src/gateway/batch/job-claims.ts
+++ b/src/gateway/batch/job-claims.ts
@@ -1,5 +1,5 @@
 /**
-Which process runs which job. Every process ranks all processes for a job alike, and the first takes it; who has taken a job says so to its peers and keeps it until it shuts down or falls silent. Two may take the same job for a moment, when messages between them are lost: their results agree all the same, since a page of results is created only once, and the one that ranks lower gives the job up as soon as it hears of the other.
+Decides which process runs which job. Every process computes the same ranking of processes for a job, and the first one claims it; a process announces its claims to its peers and keeps them until it shuts down or becomes unresponsive. If messages are lost, two processes may claim the same job for a moment: their results agree all the same, since a page of results is created only once, and the one that ranks lower releases the job as soon as it receives the other's claim.
 */
 import type {Clock, EventLog} from '../../common/services.js';
 import {rankMembers} from '../../common/rendezvous.js';
@@ -10,7 +10,7 @@
 import type {JobIndex} from './job-index.js';
 import type {BatchJob} from './batch-job.js';
 
-/** What claims are decided from. */
+/** Dependencies of the claims. */
 export type ClaimsParts = {
 	readonly self: MemberName;
 	readonly jobIndex: JobIndex;
@@ -18,17 +18,17 @@
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly isLeaving: () => boolean;
-	/** When this process first knew where its peers are, in milliseconds on the monotonic clock; `undefined` before. */
+	/** When this process first loaded the addresses of its peers, in milliseconds on the monotonic clock; `undefined` before. */
 	readonly membersFirstLoadedAt: () => number | undefined;
 };
 
-/** A process that knows where its peers are hears within this time, in milliseconds, which jobs they run; two of their messages. Before, nobody can have told it: the object API may answer late at its start. */
+/** A process that has the addresses of its peers receives their claims within this time, in milliseconds, which is that of two of their messages. Before it has the addresses, it can have received none: the object API may answer late at its start. */
 const listenFirstMs = 600;
 
-/** A job that the first of the ranking has not taken after this long, in milliseconds, is open to the next: the first may be cut off from the object API and not know of it. */
+/** A job that the first process of the ranking has not claimed after this long, in milliseconds, is open to the next one: the first may be cut off from the object API and lack the job. */
 const turnMs = 600;
 
-/** Claims are reviewed several times a second; after a longer time than this between two reviews, in milliseconds, this process was paused, and its peers seem to have gone silent. */
+/** Claims are reviewed several times a second; a longer gap than this between two reviews, in milliseconds, means that this process was paused, and its peers seem to be unresponsive. */
 const standstillMs = 1200;
 
 /** See the module's head. */
@@ -37,7 +37,7 @@
 	readonly #claimed = new Set<BatchJobId>();
 	readonly #unclaimedSince = new Map<BatchJobId, number>();
 	#reviewedAt: number | undefined;
-	/** When this process last went on after a pause. What its peers have claimed meanwhile may still be unread. */
+	/** When this process last resumed after a pause. Claims that its peers announced meanwhile may still be unread. */
 	#wokeAt = -Infinity;
 
 	constructor(parts: ClaimsParts) {
@@ -53,7 +53,7 @@
 		return this.#claimed.has(job);
 	}
 
-	/** Decides anew. Call it when jobs or peers have changed, and every now and then. */
+	/** Reviews all claims. To be called when jobs or peers have changed, and periodically. */
 	review(): void {
 		const {jobIndex: book, isLeaving} = this.#parts;
 		this.#noteStandstill();
@@ -74,21 +74,21 @@
 		});
 	}
 
-	/** Takes a job that its former holder has handed over. */
+	/** Claims a job that its former holder has handed over. */
 	accept(id: BatchJobId): void {
 		if (this.#parts.jobIndex.job(id)?.isOpen && !this.#claimed.has(id)) {
 			this.#set(id, true);
 		}
 	}
 
-	/** Gives a job away. */
+	/** Releases the claim on a job. */
 	release(id: BatchJobId): void {
 		if (this.#claimed.has(id)) {
 			this.#set(id, false);
 		}
 	}
 
-	/** Of a held job no other process knows. */
+	/** Other processes do not have a held job yet, so it is claimed regardless of the ranking. */
 	#reviewJob({id, isHeld}: BatchJob) {
 		const holders = this.#holdersElsewhere(id);
 		if (this.#claimed.has(id)) {
@@ -100,7 +100,7 @@
 			return;
 		}
 
-		// Also a holder that is leaving keeps its jobs until it has handed them over. Whoever took them before would begin each text anew.
+		// A holder that is leaving also keeps its jobs until it has handed them over. A process that claimed them earlier would start each text from the beginning.
 		if (holders.length > 0) {
 			this.#unclaimedSince.delete(id);
 			return;
--- a/src/gateway/batch/job-handover.ts
+++ b/src/gateway/batch/job-handover.ts
@@ -1,7 +1,7 @@
 /**
-Leaves a job to the next process: results that are ready are listed, and what the items have brought goes to the peer that ranks next for the job, so that their next runs go on from there.
+Hands a job over to the next process at a shutdown: results that are ready are committed, and the progress of the items is sent to the peer that ranks next for the job, so that their next runs resume from it.
 
-It is passed from process to process, since the next one begins as soon as it has the job: what stood in the object API only came to it after it had begun each text anew. Planned stops in turn cost items what they had so far, and places that others needed; and the object API may be away. It is written there only where no peer takes it.
+The progress is passed directly between processes, since the next one starts as soon as it has the job: written to the object API, it reached the next process only after that one had started each text from the beginning. Planned stops one after the other then cost items their progress, and slots that others needed; and the object API may be unavailable. It is written there only if no peer accepts it.
 */
 import {rankMembers} from '../../common/rendezvous.js';
 import type {Clock, EventLog, ObjectApi} from '../../common/services.js';
@@ -15,22 +15,22 @@
 import type {ContentStore} from './content-store.js';
 import type {JobRun} from './job-run.js';
 
-/** The method's name between processes. */
+/** The name of the method in calls between processes. */
 export const takeOverMethod = 'gateway.takeOver';
 
-/** What a process leaves of a job to its next one. */
+/** What a process hands over of a job. */
 export type JobHandover = {
 	readonly job: BatchJobId;
 	/** Items that have no result. */
 	readonly items: readonly ItemProgress[];
-	/** Results that are not listed yet. */
+	/** Results that are not committed yet. */
 	readonly results: readonly ItemResult[];
 };
 
-/** What the next one says. */
+/** The answer of the process that is asked to take the job over. */
 export type JobHandoverAnswer = {readonly isTaken: boolean};
 
-/** What handing over needs. */
+/** Dependencies of the sender. */
 export type HandoverSenderParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
@@ -41,13 +41,13 @@
 	readonly log: EventLog;
 };
 
-/** A shutdown waits this long, in milliseconds, for results to be listed, and as long for what it leaves to be written where no peer takes it; with both, half of the time to shut down is left for callers. */
+/** A shutdown waits this long, in milliseconds, for results to be committed, and as long for the progress to be written if no peer accepts it; with both, half of the time to shut down is left for callers. */
 const writeLimitMs = 1000;
 
-/** A peer takes a job over as soon as it has read it, some ten milliseconds; one that needs this long, in milliseconds, is gone or paused. */
+/** A peer takes a job over as soon as it has read it, some ten milliseconds; one that needs longer than this, in milliseconds, has terminated or is paused. */
 const takeOverLimitMs = 400;
 
-/** Peers that are asked, the first of the ranking first: if two in a row do not answer, more would take too long. */
+/** The number of peers that are asked, in the order of the ranking: if two in a row do not answer, more would take too long. */
 const mostAsked = 2;
 
 /** See the module's head. */
@@ -58,7 +58,7 @@
 		this.#parts = parts;
 	}
 
-	/** @param run - Its items' runs must have been cut off. */
+	/** @param run - The runs of its items must have been cancelled. */
 	async handOver(run: JobRun): Promise<void> {
 		const {job} = run;
 		await run.writer.flush(writeLimitMs);
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** @returns The peer that has taken it. */
+	/** @returns The peer that has taken the job over. */
 	async #pass(handover: JobHandover): Promise<MemberName | undefined> {
 		for (const {state} of this.#successors(handover.job)) {
 			const answered = await this.#parts.rpc.call<JobHandoverAnswer>({address: state.rpcAddress, timeoutMs: takeOverLimitMs}, takeOverMethod, handover);
--- a/src/gateway/batch/job-index.ts
+++ b/src/gateway/batch/job-index.ts
@@ -1,7 +1,7 @@
 /**
-All batch jobs as the object API's records tell them, in the order of their versions: part of the blackboard.
+The index of all batch jobs, built from the object API's records in the order of their versions; part of the blackboard.
 
-Whether a job fits under what may wait of its account on its route is decided here, from the records before it, and so alike in every process: two processes that take jobs in at the same moment need not ask each other, since each finds the other's job before or after its own. Nothing of a job runs, and no caller is told that it was accepted, before its record has come back in this order.
+Whether a job fits under its account's limit of waiting tokens on its route is decided here, from the records that precede it, so every process reaches the same decision: two processes that accept jobs at the same moment need not consult each other, since each sees the other's job before or after its own. A job is neither run nor reported to its caller as accepted before its record has been received in this order.
 */
 import {EventEmitter} from 'node:events';
 import {branded, type Revision} from '../../common/ids.js';
@@ -19,19 +19,19 @@
 
 type Appliers = {readonly [K in BatchRecord['type']]: (record: Extract<BatchRecord, {type: K}>, origin: Origin) => void};
 
-/** Where a record stands. */
+/** The name and version under which a record is stored. */
 type Origin = {readonly name: string; readonly revision: Revision};
 
-/** A held job has no place among the versions yet. */
+/** A held job has no version in the object API yet. */
 const heldRevision = branded<Revision>(0);
 
 /** See the module's head. */
 export class JobIndex {
 	readonly #events = new EventEmitter();
 	readonly #jobs = new Map<BatchJobId, BatchJob>();
-	/** Accepted here, and not in the object API yet. */
+	/** Jobs that this process accepted and that are not in the object API yet. */
 	readonly #held = new Map<BatchJobId, JobRecord>();
-	/** Ended, and not in the object API yet. */
+	/** Jobs that ended before their record was in the object API. */
 	readonly #endedBefore = new Set<BatchJobId>();
 	#isKnown = false;
 
@@ -60,7 +60,7 @@
 		});
 	}
 
-	/** Whether the records have been read at all. */
+	/** Whether the records have been read at least once. */
 	get isKnown(): boolean {
 		return this.#isKnown;
 	}
@@ -77,21 +77,21 @@
 		return this.#jobs.get(id);
 	}
 
-	/** Tokens of an account's accepted items without a result on a route. Jobs without an account share one bound. */
+	/** Tokens of an account's accepted items on a route that have no result yet. Jobs without an account share one limit. */
 	waitingTokens(route: string, account?: ClientAccountName): number {
 		return [...this.#jobs.values()].reduce((sum, job) => job.record.route === route && job.record.account === account ? sum + job.waitingTokens : sum, 0);
 	}
 
-	/** Calls the listener after records were taken, with the jobs that they concern. */
+	/** Calls the listener after records were applied, with the ids of the jobs that they affect. */
 	onChange(listener: (jobs: ReadonlySet<BatchJobId>) => void): void {
 		this.#events.on('change', listener);
 	}
 
 	/**
-	Waits for a change of a job.
+	Waits until a condition on a job holds.
 
-	@param isEnough - Asked at once and after each change.
-	@returns Whether it was enough before the time was up.
+	@param isEnough - Evaluated at once and after each change of the job.
+	@returns Whether the condition held within the time limit.
 	*/
 	async waitUntil(id: BatchJobId, isEnough: () => boolean, limitMs: number): Promise<boolean> {
 		if (isEnough() || limitMs <= 0) {
@@ -118,7 +118,7 @@
 		});
 	}
 
-	/** This process has accepted a job that keepers hold until its record can be written. */
+	/** Adds a job that this process has accepted and that keepers hold until its record can be written. */
 	addHeld(record: JobRecord): void {
 		if (!this.#jobs.has(record.job)) {
 			this.#held.set(record.job, record);
@@ -127,12 +127,12 @@
 		}
 	}
 
-	/** Tokens of jobs that this process has accepted and that are held. */
+	/** Tokens of the jobs that this process has accepted and that keepers still hold. */
 	get heldTokens(): number {
 		return [...this.#held.values()].reduce((sum, {items}) => sum + tokensOf(items), 0);
 	}
 
-	/** A caller asked for the end of a job, and the record of it is still to be written. */
+	/** Marks a job as ended at its caller's request, before the record of its end is written. */
 	markEnded(id: BatchJobId): void {
 		this.#end(id);
 		this.#events.emit('change', new Set([id]));
@@ -142,7 +142,7 @@
 		const before = [...this.#jobs.keys()];
 		this.#jobs.clear();
 		const concerned = items.toSorted(byVersion).flatMap(({name, value, version}) => this.#apply(value, {name, revision: version}));
-		// What is held is in no list yet.
+		// The snapshot does not contain held jobs.
 		this.#held.forEach(record => {
 			this.#addHeldJob(record);
 		});
@@ -180,7 +180,7 @@
 		return [id];
 	}
 
-	/** Held jobs were accepted with so much room that no order of records decides. */
+	/** Held jobs are always admitted: they are accepted only with so much room left that the order of the records does not matter. */
 	#addHeldJob(record: JobRecord) {
 		this.#jobs.set(record.job, new BatchJob(record, heldRevision, {isAdmitted: true, isHeld: true}));
 		if (this.#endedBefore.has(record.job)) {
@@ -188,7 +188,7 @@
 		}
 	}
 
-	/** The end of a job that was held may stand in the object API before the job does. */
+	/** The record of a held job's end may be in the object API before the job's own record. */
 	#end(id: BatchJobId) {
 		const job = this.#jobs.get(id);
 		job?.end();
@@ -202,7 +202,7 @@
 		const waitsElsewhere = this.waitingTokens(route, account) - (this.#held.has(record.job) ? tokensOf(items) : 0);
 		const isAdmitted = isRoomy || waitsElsewhere + tokensOf(items) <= maxWaitingTokens;
 		if (!isAdmitted && this.#held.has(record.job)) {
-			// Another process judged the job too large and is about to take its record back. What this one has accepted stays accepted, and keepers will write it.
+			// Another process found the job too large and is about to remove its record. A job that this process has accepted stays accepted, and keepers will write its record.
 			return;
 		}
 
--- a/src/gateway/batch/job-intake.ts
+++ b/src/gateway/batch/job-intake.ts
@@ -1,5 +1,5 @@
 /**
-Takes batch jobs in. A caller that hears "accepted" may forget the job, so its record stands in the object API before; one that hears "refused" will send it elsewhere, so its record must not stand, now or later. Where neither is certain, the caller is told just that.
+Accepts batch jobs. A caller that receives "accepted" may discard the job, so its record must be in the object API before; one that receives "refused" will send it elsewhere, so its record must not exist, now or later. If neither is certain, the caller receives "uncertain".
 */
 import {errorOf} from '../../common/error-of.js';
 import type {
@@ -17,10 +17,10 @@
 } from './batch-records.js';
 import {JobWriter, type JobWriteResult} from './job-writer.js';
 
-/** A job as a caller sent it. */
+/** A job as a caller submitted it. */
 export type JobSubmission = {
 	readonly job: BatchJobId;
-	/** Whose job it is, where there are accounts. */
+	/** The account that owns the job, if there are accounts. */
 	readonly account?: ClientAccountName;
 	readonly route: GatewayRoute;
 	readonly host: string;
@@ -29,31 +29,31 @@
 	readonly items: readonly BatchItem[];
 };
 
-/** `full`: more tokens wait than may. `away`: nothing was written. `uncertain`: the job may stand. `foreign`: another account has a job of this id. */
+/** `full`: the limit of waiting tokens is exceeded. `away`: the object API is unavailable, nothing was written. `uncertain`: the job may have been written. `foreign`: another account has a job of this id. */
 export type SubmissionOutcome = 'accepted' | 'full' | 'away' | 'tooLarge' | 'uncertain' | 'foreign';
 
-/** What the intake reads and writes. */
+/** Dependencies of the intake. */
 export type IntakeParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
 	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
 	readonly keeperPool: Pick<KeeperPool, 'isSufficient' | 'hold'>;
-	/** How many processes take jobs in, this one included. */
+	/** The number of processes that accept jobs, this one included. */
 	readonly processCount: () => number;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: Metrics;
 };
 
-/** The object API answers two writes within some ten milliseconds; a job that waits longer than this, in milliseconds, is held by keepers meanwhile, so that it is accepted within the usual latency target of half a second. */
+/** The object API answers two writes within some ten milliseconds; if they take longer than this, in milliseconds, keepers are asked to hold the job meanwhile, so that it is accepted within the usual latency target of half a second. */
 const patienceMs = 150;
 
-/** A record comes back with the feed as soon as the feed looks again, a quarter of a second after its last look; after this many milliseconds it is asked for. */
+/** A record is received with the next poll of the feed, a quarter of a second after the last one; after this many milliseconds it is read explicitly. */
 const feedPatienceMs = 350;
 
 /**
-With more than this share of the limit left, a job is accepted as soon as its record is written: what other processes accept within the second or two by which this one's view may lag is far less than half of what may wait.
+With more than this share of the limit left, a job is accepted as soon as its record is written: what other processes accept within the second or two by which this one's index may lag is far less than half of the limit.
 */
 const roomyShare = 0.5;
 
@@ -69,7 +69,7 @@
 		this.#writer = new JobWriter(parts);
 	}
 
-	/** @returns What the caller may be told. */
+	/** @returns The outcome to report to the caller. */
 	async submit(submission: JobSubmission): Promise<SubmissionOutcome> {
 		const {clock, jobIndex: book, log, metrics} = this.#parts;
 		const startedAt = clock.now();
@@ -90,7 +90,7 @@
 		}
 
 		if (!this.#seemsToFit(submission)) {
-			// What is known may lag: results may have made room, or the job may have been accepted elsewhere.
+			// The index may lag: results may have made room, or the job may have been accepted elsewhere.
 			const isCertain = await feed.sync();
 			if (!isCertain) {
 				return 'away';
@@ -123,7 +123,7 @@
 		return limit === 0 || this.#roomAfter(submission) > limit * roomyShare;
 	}
 
-	/** Tokens that could still wait once the job does, as far as is known. */
+	/** Tokens that the limit leaves once the job is accepted, according to the index. */
 	#roomAfter(submission: JobSubmission): number {
 		const {route, account, items} = submission;
 		const limit = limitOf(submission);
@@ -134,7 +134,7 @@
 		const {job} = submission;
 		const standing = this.#parts.jobIndex.job(job);
 		if (standing && !standing.isAdmitted) {
-			// Left by a process that could not take its refusal back; the job gets a new place in the order.
+			// Left by a process that could not remove it after refusing the job; the job gets a new position in the order.
 			const isRemoved = await this.#takeBack(job);
 			if (!isRemoved) {
 				return 'uncertain';
@@ -150,7 +150,7 @@
 		return this.#settle(record, await writing);
 	}
 
-	/** A record that stood already may be another process's, which judged the job by its own view and may be about to take it back: only the order of the records tells whether it stays. */
+	/** A record that existed already may be another process's, which judged the job by its own index and may be about to remove the record: only the order of the records decides whether it stays. */
 	async #settle({job, account, isRoomy}: JobRecord, {outcome, hasUnansweredAttempt: mayComeLate}: JobWriteResult): Promise<SubmissionOutcome> {
 		if (outcome === 'created' && isRoomy) {
 			return 'accepted';
@@ -159,7 +159,7 @@
 		return outcome === 'created' || outcome === 'found' ? this.#judge({job, account}, mayComeLate) : outcome;
 	}
 
-	/** Processes do not know of each other's held jobs: together they may hold no more than what a roomy job leaves free. */
+	/** Processes do not see each other's held jobs: together they may hold no more than a roomy job leaves free. */
 	#mayBeHeld(submission: JobSubmission): boolean {
 		const {keeperPool: holders, jobIndex: book, processCount: sharers} = this.#parts;
 		const limit = limitOf(submission);
@@ -167,7 +167,7 @@
 		return holders.isSufficient && book.heldTokens + tokensOf(submission.items) <= share;
 	}
 
-	/** Whichever comes first: the record in the object API, or enough copies on disks that will bring it there. */
+	/** Waits for whichever comes first: the record in the object API, or enough copies on the disks of keepers, which will write it there. */
 	async #writeOrHold(writing: Promise<JobWriteResult>, job: HeldJob): Promise<SubmissionOutcome> {
 		const {clock, keeperPool: holders, jobIndex: book, contents} = this.#parts;
 		const first = await Promise.race([writing, clock.sleep(patienceMs)]);
@@ -207,9 +207,9 @@
 	}
 
 	/**
-	The record has a place in the order of versions; what stands before it decides.
+	Decides by the records that precede this one in the order of versions.
 
-	@param mayComeLate - Whether a try to write it went unanswered. Carried out after the record was taken back, it would find room and run a job that its caller was told will never run.
+	@param mayComeLate - Whether an attempt to write it went unanswered. If it took effect after the record was removed, it would find room and run a job that its caller was told will never run.
 	*/
 	async #judge({job, account}: Pick<JobRecord, 'job' | 'account'>, mayComeLate: boolean): Promise<SubmissionOutcome> {
 		const {jobIndex: book, feed} = this.#parts;
@@ -229,7 +229,7 @@
 		return isGone && !mayComeLate ? 'full' : 'uncertain';
 	}
 
-	/** @returns Whether the record certainly stands no more. */
+	/** @returns Whether the record certainly does not exist any more. */
 	async #takeBack(job: BatchJobId): Promise<boolean> {
 		const {api, jobIndex: book} = this.#parts;
 		const removed = await api.remove('BatchRecord', recordNames.job(job), book.job(job)?.revision);
--- a/src/gateway/batch/job-reader.ts
+++ b/src/gateway/batch/job-reader.ts
@@ -1,5 +1,5 @@
 /**
-Answers questions about batch jobs at any process. What this process has not heard of may still exist, so it asks the object API before it says that something does not; when that cannot be asked, it says that it is not sure.
+Answers requests about batch jobs at any process. A job that is not in this process's index may still exist, so the object API is read before the job is reported as unknown; if it cannot be read, the answer is `unsure`.
 */
 import {Buffer} from 'node:buffer';
 import {errorOf} from '../../common/error-of.js';
@@ -14,7 +14,7 @@
 import {recordNames, type EndRecord, type ItemResult} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 
-/** Why a question has no answer. */
+/** Why a request has no answer. */
 export type JobReadError = 'unknown' | 'unsure';
 
 /** Results from a position on. */
@@ -24,7 +24,7 @@
 	readonly results: readonly ItemResult[];
 };
 
-/** A question for results. */
+/** A request for results. */
 export type ResultsRequest = {
 	readonly job: BatchJobId;
 	/** The first position, counted from 0. */
@@ -33,7 +33,7 @@
 	readonly waitMs: number;
 };
 
-/** What the reader needs. */
+/** Dependencies of the reader. */
 export type ReaderParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
@@ -43,13 +43,13 @@
 	readonly log: EventLog;
 };
 
-/** An answer holds no more than this, in bytes of output, and one result at least. */
+/** The maximum size of an answer, in bytes of output; it holds one result at least. */
 const maxPageBytes = 900_000;
 
-/** Without word from the object API for this long, in milliseconds, another process may have shown results that are not known here. */
+/** If the object API has not answered for this long, in milliseconds, another process may have returned results that are not cached here. */
 const trustedMs = 2500;
 
-/** An end that could not be written is tried again for this long, in milliseconds, even though its caller was told that it is not certain. */
+/** A record of a job's end that could not be written is retried for this long, in milliseconds, even though the caller was told that the end is uncertain. */
 const endLimitMs = 20_000;
 
 const endRetryMs = 300;
@@ -62,7 +62,7 @@
 		this.#parts = parts;
 	}
 
-	/** @param caller - Where there are accounts, the caller; jobs of other accounts do not exist for it. */
+	/** @param caller - The caller, if there are accounts; jobs of other accounts are unknown to it. */
 	async results({job, after, waitMs}: ResultsRequest, caller?: CallerIdentity): Promise<ResultsPage | JobReadError> {
 		const found = await this.#find(job, caller);
 		if (typeof found === 'string') {
@@ -72,7 +72,7 @@
 		const {jobIndex: book, feed} = this.#parts;
 		const current = () => book.job(job);
 		if (after > found.results.length && !(await feed.ensureLoaded(() => (current()?.results.length ?? 0) >= after))) {
-			// The caller has read that position somewhere.
+			// Another process has returned results up to that position to the caller.
 			return 'unsure';
 		}
 
@@ -86,7 +86,7 @@
 		return entry ? this.#page(entry, after) : 'unknown';
 	}
 
-	/** @returns The bytes that the item is sent with. */
+	/** @returns The body with which the item is sent. */
 	async body({job, item}: {readonly job: BatchJobId; readonly item: BatchItemId}, caller?: CallerIdentity): Promise<Buffer | JobReadError> {
 		const found = await this.#find(job, caller);
 		if (typeof found === 'string') {
@@ -112,7 +112,7 @@
 		return outcome;
 	}
 
-	/** Reads the contents of as many results as an answer may hold; one that cannot be read ends the answer before it. */
+	/** Reads the contents of as many results as an answer may hold; the answer ends before the first one that cannot be read. */
 	async #page({results, record}: BatchJob, after: number): Promise<ResultsPage | JobReadError> {
 		const page: ItemResult[] = [];
 		const listed = results.slice(after);
@@ -134,7 +134,7 @@
 	}
 
 	async #end(job: BatchJobId): Promise<'ended' | JobReadError> {
-		// Whoever wants no more of a job is not helped by its running on while the record waits to be written.
+		// The job stops at once: its caller gains nothing from runs while the record is still to be written.
 		this.#parts.jobIndex.markEnded(job);
 		if (await this.#writeEnd(job)) {
 			return 'ended';
--- a/src/gateway/batch/job-route-policy.ts
+++ b/src/gateway/batch/job-route-policy.ts
@@ -1,15 +1,15 @@
 /**
-What operators' current configuration says of a job that was accepted under an older one: by which route its items go now, when they are due, and whether they are to be given up.
+Applies the current configuration to jobs that were accepted under an older one: by which route their items are sent now, when they are due, and whether they are to be given up.
 */
 import type {Clock} from '../../common/services.js';
 import type {ConfigBoard} from '../config-board.js';
 import type {BatchJobId, GatewayRoute} from '../types.js';
 import type {BatchJob} from './batch-job.js';
 
-/** A route that is missing from the configuration for this long, in milliseconds, is gone for good; its items will not be done. */
+/** A route that is missing from the configuration for this long, in milliseconds, counts as removed; its items will not be run. */
 const routeGoneMs = 3000;
 
-/** The wall clocks of two processes may differ by this much, in milliseconds; an item is given up only once its time is over by every clock. */
+/** The wall clocks of two processes may differ by this much, in milliseconds; an item is given up only once its time is over on every clock. */
 const clockSlackMs = 5000;
 
 /** See the module's head. */
@@ -23,7 +23,7 @@
 		this.#clock = clock;
 	}
 
-	/** The route by which the job's items go; an operator may have moved it to another service. */
+	/** The route by which the job's items are sent; an operator may have moved it to another service. */
 	routeOf({id, record}: BatchJob): GatewayRoute | undefined {
 		const {routes} = this.#board;
 		const named = routes.named(record.route);
@@ -35,7 +35,7 @@
 		return route;
 	}
 
-	/** Whether the job has been without a route for so long that none will come back. Call it when `routeOf` finds none. */
+	/** Whether the job has been without a route for so long that the route counts as removed. To be called when `routeOf` finds none. */
 	hasLostRoute({id}: BatchJob): boolean {
 		if (!this.#board.config) {
 			return false;
@@ -56,7 +56,7 @@
 		return record.submittedAt + (this.#board.routes.named(record.route)?.batch?.dueMs ?? 0);
 	}
 
-	/** Forgets a job that is over. */
+	/** Discards the state of a job that is no longer run here. */
 	forget(id: BatchJobId): void {
 		this.#routeGoneSince.delete(id);
 	}
--- a/src/gateway/batch/job-run.ts
+++ b/src/gateway/batch/job-run.ts
@@ -1,5 +1,5 @@
 /**
-The items of one job that this process runs: which wait, which run, what is known of their texts, and which have failed too often.
+The items of one job that this process runs: which ones wait, which ones run, their texts so far, and which ones have failed too often.
 */
 import type {Clock, Disposable, EventLog} from '../../common/services.js';
 import {gatewayEvents} from '../log-events.js';
@@ -13,32 +13,32 @@
 import type {JobHandover} from './job-handover.js';
 import type {ResultWriter} from './result-writer.js';
 
-/** What is known of an item between its runs. */
+/** The state of an item across its runs. */
 export type ItemState = {
 	readonly item: BatchItem;
-	/** The data of its events so far: one text, each run of which was asked to go on behind those before it. */
+	/** The data of its events so far: one text, each run of which was asked to continue after those before it. */
 	events: string[];
-	/** Not to be sent before, in milliseconds on the monotonic clock. */
+	/** The earliest time of its next run, in milliseconds on the monotonic clock. */
 	notBefore: number;
 	run: ItemRun | undefined;
-	/** How its last run here ended. */
+	/** The outcome of its last run here. */
 	lastEnd: ItemRunEnd | undefined;
-	/** Made when the item is first looked at for a place. */
+	/** Created when the item is first considered for a slot. */
 	trackedContent: TrackedContent | undefined;
-	/** When its first run here began, in milliseconds on the monotonic clock. */
+	/** When its first run here started, in milliseconds on the monotonic clock. */
 	firstStartedAt: number | undefined;
-	/** Milliseconds that its runs here have taken together. */
+	/** The total milliseconds of its runs here. */
 	ranMs: number;
 };
 
-/** After a run that did not succeed, milliseconds until the next: a replica that fails at once must not be asked without a pause. */
+/** After a run that did not succeed, milliseconds until the next one: a replica that fails at once must not be retried without a delay. */
 const pauseMs: Readonly<Partial<Record<ItemRunEnd, number>>> = {
 	failed: 200, declined: 150, unreachable: 100, misdirected: 100, lost: 50, broken: 50,
 };
 
-/** What a run of a job needs. */
+/** Dependencies of a run. */
 export type JobRunParts = {
-	/** The job as the book has it now. */
+	/** The current state of the job in the index. */
 	readonly job: () => BatchJob | undefined;
 	readonly writer: ResultWriter;
 	readonly contents: ContentStore;
@@ -66,12 +66,12 @@
 		return this.#parts.writer;
 	}
 
-	/** Runs under way. */
+	/** Items with a run in progress. */
 	get running(): ItemState[] {
 		return [...this.#states.values()].filter(({run}) => run !== undefined);
 	}
 
-	/** Reads the items in full, and what earlier processes have left of them. Until then none waits. Call it again while it fails. */
+	/** Reads the items in full, and the progress that earlier processes have written. Until then no item waits. To be called again while it fails. */
 	async load(): Promise<void> {
 		if (this.#states.size === 0) {
 			this.#loading ??= this.#load();
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Takes over what the former holder of the job has left. */
+	/** Merges what the former holder of the job has handed over. */
 	receive(handover: JobHandover): void {
 		this.#received.push(handover);
 		if (this.#states.size > 0) {
@@ -99,7 +99,7 @@
 		return [...this.#states.values()].filter(({item, run, notBefore}) => run === undefined && notBefore <= now && this.#isUnfinished(job, item.id));
 	}
 
-	/** What the next process to run the job can go on from. */
+	/** The progress from which the next process can resume the job. */
 	progress(): ItemProgress[] {
 		const {job} = this;
 		return job
@@ -109,13 +109,13 @@
 			: [];
 	}
 
-	/** Takes over the end of an item's run. */
+	/** Records the end of an item's run. */
 	noteEnd(state: ItemState, end: ItemRunEnd, {replica, route}: {replica: ReplicaId; route: Pick<GatewayRoute, 'maxRuns'>}): void {
 		state.run = undefined;
 		state.lastEnd = end;
 		state.notBefore = this.#parts.clock.now() + (pauseMs[end] ?? 0);
 		if (this.writer.has(state.item.id)) {
-			// The former holder of the job has handed its result over.
+			// The former holder of the job has handed over the result.
 			return;
 		}
 
@@ -133,14 +133,14 @@
 		}
 	}
 
-	/** Lists items as not done that have failed as often as their route allows, wherever that was. */
+	/** Gives up items that have failed as often as their route allows, at whichever process. Their results are `errored`. */
 	giveUpFailed(route: Pick<GatewayRoute, 'maxRuns'>): void {
 		this.waiting().filter(state => this.#hasFailedTooOften(state, route)).forEach(({item}) => {
 			this.#giveUp(item.id);
 		});
 	}
 
-	/** Lists all items that have no result as not done. */
+	/** Gives up all items that have no result. Their results are `errored`. */
 	giveUpAll(): void {
 		const {job} = this;
 		this.cancelRuns();
@@ -149,13 +149,13 @@
 		});
 	}
 
-	/** Cuts all runs off and writes no more. */
+	/** Cancels all runs and writes no more results. */
 	dispose(): void {
 		this.cancelRuns();
 		this.writer.dispose();
 	}
 
-	/** Cuts all runs off; what they have brought stays. */
+	/** Cancels all runs; the events received so far are retained. */
 	cancelRuns(): void {
 		this.running.forEach(({run}) => {
 			run?.dispose();
@@ -178,7 +178,7 @@
 	}
 
 	/**
-	Goes on from the longer text, and from all of it: the two are of different runs, which need not agree in any event. Where the item runs here already, from an earlier event, the run is cut off: it would make again what is known, and what was handed over would be dropped while the item is late.
+	Continues from the longer text, and from all of it: the two come from different runs, which need not agree in any event. If the item already runs here, from an earlier event, the run is cancelled: it would generate again what has been received, and what was handed over would be dropped while the item is late.
 	*/
 	#takeProgress(state: ItemState, {events, failedRuns}: ItemProgress) {
 		const isLonger = state.events.length < events.length;
@@ -229,7 +229,7 @@
 	}
 }
 
-/** The longest text counts, as a whole. */
+/** Starts from the longest text alone; texts of different runs are never combined. */
 const stateOf = (item: BatchItem, left: readonly ItemProgress[]): ItemState => {
 	const longest = left.toSorted((a, b) => b.events.length - a.events.length)[0];
 	return {
--- a/src/gateway/batch/job-runs.ts
+++ b/src/gateway/batch/job-runs.ts
@@ -1,5 +1,5 @@
 /**
-The jobs that this process runs: a run is opened for each job that it has claimed and closed with the claim; a planned stop passes them to peers, and those of peers that stop are taken over.
+The jobs that this process runs. A run is opened for each job that it has claimed and closed with the claim; a planned stop hands the jobs over to peers, and jobs of peers that stop are taken over.
 */
 import type {Clock, Disposable} from '../../common/services.js';
 import type {BatchJobId} from '../types.js';
@@ -12,7 +12,7 @@
 import type {JobRoutePolicy} from './job-route-policy.js';
 import {ResultWriter, type ResultWriterParts} from './result-writer.js';
 
-/** What the runs are made from. */
+/** Dependencies of the runs. */
 export type JobRunsParts = HandoverSenderParts & ResultWriterParts & {
 	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
@@ -21,7 +21,7 @@
 	readonly clock: Clock;
 };
 
-/** Handovers of jobs that are not known yet, because the object API's news of them is late; a process runs some dozen jobs. */
+/** The maximum number of handovers of jobs that are not in the index yet, because changes in the object API are received late; a process runs some dozen jobs. */
 const maxReceived = 200;
 
 /** See the module's head. */
@@ -30,7 +30,7 @@
 	readonly #terms: JobRoutePolicy;
 	readonly #leaver: HandoverSender;
 	readonly #runs = new Map<BatchJobId, JobRun>();
-	/** Left by former holders, of jobs that this process does not run yet. */
+	/** Handovers by former holders, of jobs that this process does not run yet. */
 	readonly #received = new Map<BatchJobId, JobHandover[]>();
 	#isLeaving = false;
 
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	Opens a run for each claimed job and closes those that are claimed no more.
+	Opens a run for each claimed job and closes the runs of jobs that are no longer claimed.
 
-	@param onLoaded - Called when a run knows its items.
+	@param onLoaded - Called when a run has loaded its items.
 	*/
 	review(onLoaded: () => void): void {
 		const {claims} = this.#parts;
@@ -64,7 +64,7 @@
 		});
 	}
 
-	/** Gives all jobs away, with what is known of their items, and cuts their runs off. */
+	/** Cancels all runs and hands the jobs over to peers, with the progress of their items. */
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
 		this.all.forEach(run => {
@@ -80,7 +80,7 @@
 	/**
 	Takes a job over from a process that shuts down.
 
-	@returns False when this process shuts down itself.
+	@returns False if this process shuts down itself.
 	*/
 	takeOver(handover: JobHandover): boolean {
 		if (this.#isLeaving) {
--- a/src/gateway/batch/job-writer.ts
+++ b/src/gateway/batch/job-writer.ts
@@ -1,5 +1,5 @@
 /**
-Writes what lasts of a new batch job: its content, then the record that names it. The writer tells apart what its caller must know before it promises anything: whether the record is certainly this process's own, whether it may still come to stand, and whether it certainly will not.
+Writes the stored objects of a new batch job: its content, then the record that names it. The outcome tells the caller what it may promise: whether the record is certainly this process's own, whether it may still appear, and whether it certainly will not.
 */
 import type {Either} from 'purify-ts/Either';
 import {errorOf} from '../../common/error-of.js';
@@ -9,31 +9,31 @@
 import type {ContentStore} from './content-store.js';
 
 /**
-What came of a write. `created`: the record stands, and this write made it. `found`: a record of the job stood already, an earlier try's of this process or another process's. `away`: nothing of the job stands or will. `uncertain`: its record may stand, or come to stand.
+The outcome of a write. `created`: this write created the record. `found`: a record of the job existed already, from an earlier attempt of this process or from another process. `away`: no record of the job exists or will appear. `uncertain`: its record may exist, or appear later.
 */
 export type JobWriteOutcome = 'created' | 'found' | 'away' | 'tooLarge' | 'uncertain';
 
 /** See {@link JobWriteOutcome}. */
 export type JobWriteResult = {
 	readonly outcome: JobWriteOutcome;
-	/** Whether a try went unanswered. The object API may carry it out seconds later, also after the record was removed again. */
+	/** Whether an attempt went unanswered. The object API may carry it out seconds later, even after the record was removed again. */
 	readonly hasUnansweredAttempt: boolean;
 };
 
-/** What writing needs. */
+/** Dependencies of the writer. */
 export type JobWriterParts = {
 	readonly api: ObjectApi;
 	readonly contents: ContentStore;
 	readonly clock: Clock;
 };
 
-/** For how long a write is tried, in milliseconds: callers wait a few seconds, and must have time left to try elsewhere. */
+/** A write is retried for this long, in milliseconds: callers wait a few seconds, and must have time left to try elsewhere. */
 const writeLimitMs = 1500;
 
-/** As long as no try can have taken effect, a refusal is certain and may be told sooner, in milliseconds. */
+/** As long as no attempt can have taken effect, a refusal is certain and may be reported after this shorter time, in milliseconds. */
 const certainLimitMs = writeLimitMs / 3;
 
-/** Between two tries, in milliseconds. */
+/** The delay between two attempts, in milliseconds. */
 const retryMs = 100;
 
 const isFinal = ({kind}: ApiError): boolean => kind === 'conflict' || kind === 'tooLarge';
@@ -46,7 +46,7 @@
 		this.#parts = parts;
 	}
 
-	/** The content stands before the record that names it; alone it means nothing. */
+	/** Writes the content before the record that names it; without the record the content has no effect. */
 	async write(record: JobRecord, items: readonly BatchItem[]): Promise<JobWriteResult> {
 		const {api, contents} = this.#parts;
 		const content = await this.#tryFor(async () => contents.write(record.content, {type: 'items', items}));
--- a/src/gateway/batch/result-writer.ts
+++ b/src/gateway/batch/result-writer.ts
@@ -1,5 +1,5 @@
 /**
-Writes the results of one job as pages. A page is created under the next number, never changed: where two processes run a job at once, each believing it is the one, the first to create a page decides, and the other goes on behind it without what stands there already.
+Writes the results of one job as pages. A page is created under the next number and never changed: if two processes have claimed a job at once, the first one to create a page decides, and the other continues after it without the results on that page.
 */
 import type {
 	Clock, Disposable, EventLog, ObjectApi,
@@ -13,7 +13,7 @@
 import {recordNames, type ItemResult, type PageRecord} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 
-/** What the writer needs. */
+/** Dependencies of the writer. */
 export type ResultWriterParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
@@ -24,19 +24,19 @@
 };
 
 /**
-Results are gathered for this share of the time that is left until they are due, within these bounds in milliseconds. Each page costs two calls of the object API, and the items of a job end within a second or two of each other; readers ask about twice a second, and nobody waits for a result as long as it comes well before its time.
+Results are gathered for this share of the time that is left until they are due, within these bounds in milliseconds. Each page costs two calls of the object API, and the items of a job end within a second or two of each other; readers poll about twice a second, and nobody waits for a result that comes well before its due time.
 */
 const gatherShare = 0.1;
 const leastGatherMs = 200;
 const mostGatherMs = 800;
 
-/** After a page that could not be written, in milliseconds. */
+/** The delay after a page that could not be written, in milliseconds. */
 const retryMs = 200;
 
-/** A page holds no more than this, in bytes of output, and one result at least; the object API's limit is a megabyte with all names and escapes. */
+/** The maximum size of a page, in bytes of output; it holds one result at least. The object API's limit is a megabyte including all names and escapes. */
 const maxPageBytes = 600_000;
 
-/** Until a page that was written comes back with the feed, in milliseconds; then it is asked for. */
+/** A page that was written is received with the feed within this time, in milliseconds; after it the page is read explicitly. */
 const feedPatienceMs = 400;
 
 /** See the module's head. */
@@ -52,7 +52,7 @@
 	#isHurried = false;
 
 	/**
-	@param job - The job as the book has it now.
+	@param job - Returns the current state of the job in the index.
 	@param dueAt - When a job's results are due, in milliseconds of the wall clock.
 	*/
 	constructor(parts: ResultWriterParts, job: () => BatchJob | undefined, dueAt: (job: BatchJob) => number) {
@@ -61,17 +61,17 @@
 		this.#dueAt = dueAt;
 	}
 
-	/** Whether an item has a result that is not listed yet. */
+	/** Whether an item has a result that is not committed yet. */
 	has(item: BatchItemId): boolean {
 		return this.#pending.has(item);
 	}
 
-	/** Results that are not listed yet. */
+	/** Results that are not committed yet. */
 	get pending(): ItemResult[] {
 		return [...this.#pending.values()];
 	}
 
-	/** Takes a result; it is written soon. */
+	/** Adds a result, which will be written soon. */
 	add(result: ItemResult): void {
 		this.#pending.set(result.id, result);
 		if (this.#isLast()) {
@@ -81,14 +81,14 @@
 		this.#writing ??= this.#writeAll();
 	}
 
-	/** Writes what is there without gathering more. Resolves when all is written, or after the time. */
+	/** Writes the pending results without gathering more. Resolves when all are written, or after the time limit. */
 	async flush(limitMs: number): Promise<void> {
 		this.#isHurried = true;
 		this.#endGathering?.();
 		await Promise.race([this.#writing, this.#parts.clock.sleep(limitMs)]);
 	}
 
-	/** Writes no more. */
+	/** Stops writing. */
 	dispose(): void {
 		this.#isDisposed = true;
 	}
@@ -109,7 +109,7 @@
 		this.#writing = undefined;
 	}
 
-	/** Ends early when no further result will come. */
+	/** Waits for more results. Ends early if no further result will come. */
 	async #gather() {
 		const isLast = new Promise<void>(resolve => {
 			this.#endGathering = resolve;
@@ -124,7 +124,7 @@
 		return Math.min(mostGatherMs, Math.max(leastGatherMs, leftMs * gatherShare));
 	}
 
-	/** Nothing is gained by gathering when no further result will come. */
+	/** Whether nothing is gained by gathering, since no further result will come or the process shuts down. */
 	#isLast(): boolean {
 		const job = this.#job();
 		return this.#isHurried || (job !== undefined && job.results.length + this.#pending.size >= job.record.items.length);
@@ -152,7 +152,7 @@
 		}
 
 		if (job.isHeld) {
-			// Other processes would not know what the page belongs to, and would leave it out.
+			// Other processes do not have the job yet, and would ignore the page.
 			return false;
 		}
 
@@ -179,7 +179,7 @@
 		return feed.ensureLoaded(isBack);
 	}
 
-	/** @returns Its name; nothing when it could not be written. Results that were written before are not written again. */
+	/** @returns The name of the content, or nothing if it could not be written. Results that were written before are not written again. */
 	async #writeContent(job: BatchJobId, results: readonly ItemResult[]): Promise<string | undefined> {
 		const {contents} = this.#parts;
 		const key = results.map(({id}) => id).join(' ');
--- a/src/gateway/batch/slot-finder.ts
+++ b/src/gateway/batch/slot-finder.ts
@@ -1,5 +1,5 @@
 /**
-Where waiting items may run: which replicas serve their route, how many places items leave free for online calls, and how many of the free places this process takes at a look.
+Finds slots for waiting items: which replicas serve their route, how many slots items leave free for online calls, and how many of the free slots this process takes in one review.
 */
 import type {Clock, RandomSource} from '../../common/services.js';
 import type {PeerTable} from '../peers/peer-table.js';
@@ -13,22 +13,22 @@
 	slotAllowance, reservedSlots, slackMs, type RunEstimate, type WaitingCounts, type WaitingItem,
 } from './batch-policy.js';
 
-/** A place at a replica, with the connection to use it by. */
+/** A slot at a replica, with the connection to use. */
 export type FoundSlot = {
 	readonly replica: Replica;
 	readonly connection: ReplicaConnection;
 };
 
-/** What a place is looked for by. */
+/** An item that needs a slot, with the criteria for the replica. */
 export type SlotRequest = WaitingItem & {
 	readonly route: GatewayRoute;
-	/** Replicas that have failed the item: it is tried elsewhere, or one bad replica would use up all the runs that its route allows, and the item be given up for good. */
+	/** Replicas that have failed the item. It is tried elsewhere; otherwise one faulty replica would use up all the runs that its route allows, and the item would be given up for good. */
 	readonly failedReplicas: ReadonlySet<ReplicaId>;
-	/** Whether its last run got no usable answer: other kept connections may be as silent. */
+	/** Whether its last run got no usable answer: other connections that are kept alive may be as unresponsive. */
 	readonly needsNewConnection: boolean;
 };
 
-/** What the finder reads. */
+/** Dependencies of the finder. */
 export type SlotFinderParts = {
 	readonly directory: ReplicaDirectory;
 	readonly connectionPools: ReplicaConnectionPools;
@@ -48,16 +48,16 @@
 		this.#parts = parts;
 	}
 
-	/** Processes that look for places, this one included. */
+	/** The number of processes that look for slots, this one included. */
 	get processCount(): number {
 		return 1 + this.#parts.peers.live.filter(({jobs}) => jobs.size > 0).length;
 	}
 
 	/**
-	Places that this process may take now, for items of one route.
+	The number of slots that this process may take now for items of one route.
 
-	@param first - The most urgent item; it decides how many places stay free.
-	@param own - How many items of the route wait here.
+	@param first - The most urgent item; it decides how many slots stay free.
+	@param own - How many items of the route wait at this process.
 	*/
 	allowance(first: SlotRequest, own: WaitingCounts, length: RunEstimate): number {
 		const reserve = this.#reserveFor(first, length);
@@ -67,7 +67,7 @@
 		return slotAllowance(free, {own, all: this.#waitingOfAll(first.route, own)}, this.#parts.random.next());
 	}
 
-	/** @returns Nothing when no replica has a place to spare, or no connection is left to the one that has. */
+	/** @returns Nothing if no replica has a slot to spare, or no connection is left to the one that has. */
 	findSlot(item: SlotRequest, length: RunEstimate): FoundSlot | undefined {
 		const {clock, random, failureDomain, connectionPools: links} = this.#parts;
 		const replicas = this.#replicasOf(item.route);
--- a/src/gateway/keeping/held-job.ts
+++ b/src/gateway/keeping/held-job.ts
@@ -1,5 +1,5 @@
 /**
-A batch job that was accepted while the object API was away: its record and its items, as they will be written there.
+A batch job that was accepted while the object API was unavailable: its record and its items, as they will be written there.
 */
 import {
 	readContent, readRecord, type JobContent, type JobRecord,
@@ -11,13 +11,13 @@
 	readonly content: JobContent;
 };
 
-/** The method by which a front asks a keeper to hold a job. */
+/** The name of the method with which a front asks a keeper to hold a job. */
 export const holdJobMethod = 'gateway.holdJob';
 
-/** What a keeper answers. One that does not hold the job may still have it on its disk, and bring it to the object API after a restart. */
+/** A keeper's answer. `uncertain`: it does not hold the job, but may still have it on its disk, and write it to the object API after a restart. */
 export type HoldAnswer = 'held' | 'refused' | 'uncertain';
 
-/** @returns The job, or nothing where the value is none. */
+/** @returns The job, or nothing if the value is not a valid one. */
 export const readHeldJob = (value: unknown): HeldJob | undefined => {
 	const {record, content} = (value ?? {}) as Partial<Record<keyof HeldJob, unknown>>;
 	const job = readRecord(record);
--- a/src/gateway/keeping/held-jobs.ts
+++ b/src/gateway/keeping/held-jobs.ts
@@ -1,5 +1,5 @@
 /**
-The jobs that a keeper holds for the object API, and their way there. Records are only ever created, so each keeper that holds a copy may write it, in any order and more than once.
+Holds jobs on a keeper's disk and writes them to the object API once it is available. Records are only ever created, so each keeper that holds a copy may write it, in any order and more than once.
 */
 import {errorOf} from '../../common/error-of.js';
 import type {
@@ -11,7 +11,7 @@
 import type {HeldJob, HoldAnswer} from './held-job.js';
 import type {JobJournal} from './job-journal.js';
 
-/** What holding needs. */
+/** Dependencies of the holder. */
 export type HeldJobsParts = {
 	readonly journal: JobJournal;
 	readonly api: ObjectApi;
@@ -19,20 +19,20 @@
 	readonly log: EventLog;
 };
 
-/** While the object API is away, milliseconds until the next try: jobs must be known everywhere about a second after its return. */
+/** While the object API is unavailable, milliseconds until the next attempt: every process must receive the jobs about a second after it is available again. */
 const retryMs = 300;
 
-/** A process takes back the record of a job that does not fit within about two seconds, and within a few more while the object API is slow. One that stands longer without a result was left behind; in milliseconds. */
+/** A process removes the record of a job that does not fit within about two seconds, and within a few more while the object API is slow. A record that exists for longer than this without a result, in milliseconds, was abandoned. */
 const takeBackMs = 10_000;
 
-/** `waits`: another record of the job stands, and it is not certain yet that it stays. */
+/** `waits`: another record of the job exists, and it is not certain yet that it stays. */
 type WriteOutcome = 'stands' | 'waits' | 'away';
 
 /** See the module's head. */
 export class HeldJobs implements Disposable {
 	readonly #parts: HeldJobsParts;
 	readonly #jobs = new Map<string, HeldJob>();
-	/** Since when another record has stood in the way, in milliseconds on the monotonic clock, by content. */
+	/** When another record of the job was first found, in milliseconds on the monotonic clock, by content. */
 	readonly #blockedSince = new Map<string, number>();
 	#isDisposed = false;
 	#isWriting = false;
@@ -45,7 +45,7 @@
 		return this.#jobs.size;
 	}
 
-	/** Takes up what was held before the process started. */
+	/** Loads the jobs that were held before the process started, and begins to write them. */
 	async start(): Promise<void> {
 		const jobs = await this.#parts.journal.load();
 		jobs.forEach(job => {
@@ -53,7 +53,7 @@
 		});
 	}
 
-	/** Takes a job on the disk. */
+	/** Writes a job to the disk and holds it. */
 	async hold(job: HeldJob): Promise<HoldAnswer> {
 		const {journal, log} = this.#parts;
 		const {job: id, items} = job.record;
@@ -94,7 +94,7 @@
 		this.#isWriting = false;
 	}
 
-	/** Ends with the first job that the object API does not take: it is away, and each try is a call that counts. */
+	/** Stops at the first job that the object API does not accept: it is unavailable, and each attempt costs a call. */
 	async #writeRound() {
 		for (const job of this.#jobs.values()) {
 			const outcome = await this.#write(job);
@@ -124,7 +124,7 @@
 	}
 
 	/**
-	Another record of the job stands. One that is this acceptance's, or was written with much room, stays. Any other may have been judged too large by the process that wrote it, which then takes it back within two seconds and tells its caller so; the job that is held here was accepted, and would be lost if the other's record passed for it.
+	Another record of the job exists. One that belongs to the same acceptance, or was written as roomy, stays. For any other, the process that wrote it may have found the job too large; it then removes the record within two seconds and reports this to its caller. The job that is held here was accepted, and would be lost if the other record were taken for it.
 	*/
 	async #lookAtStanding(record: JobRecord): Promise<WriteOutcome> {
 		const {api, clock} = this.#parts;
@@ -141,14 +141,14 @@
 		const since = this.#blockedSince.get(record.content) ?? clock.now();
 		this.#blockedSince.set(record.content, since);
 		if (clock.now() - since > takeBackMs) {
-			// Its writer died before it took the record back. A job without a result can begin anew.
+			// Its writer terminated before it removed the record. A job without a result can start from the beginning.
 			await api.remove('BatchRecord', recordNames.job(record.job), found.unsafeCoerce().version);
 		}
 
 		return 'waits';
 	}
 
-	/** Only jobs that were admitted have results, or an end that a caller was told of. */
+	/** Only admitted jobs have results, or an end that was reported to a caller. */
 	async #hasBegun(job: BatchJobId): Promise<boolean> {
 		const {api} = this.#parts;
 		const found = await Promise.all([recordNames.page(job, 0), recordNames.end(job)].map(async name => api.get('BatchRecord', name)));
@@ -159,7 +159,7 @@
 		const {journal, log} = this.#parts;
 		const {record} = job;
 		await journal.drop(job).catch((err: unknown) => {
-			// It will be written once more after a restart, and found to stand there.
+			// After a restart it will be written once more, and found to exist.
 			log.emit(gatewayEvents.heldJobRemovalFailed, {id: record.job, reason: String(err)});
 		});
 		this.#jobs.delete(record.content);
--- a/src/gateway/keeping/job-journal.ts
+++ b/src/gateway/keeping/job-journal.ts
@@ -1,5 +1,5 @@
 /**
-Jobs on a disk, one file each. A job counts as held only once its file and the folder's entry for it have reached the disk: after a power loss anything later may be missing or torn.
+Stores held jobs on a disk, one file each. A job counts as held only once its file and the folder's entry for it have been synced to the disk: after a power loss anything that was not synced may be missing or torn.
 */
 import {
 	mkdir, open, readdir, readFile, rm, unlink,
@@ -11,10 +11,10 @@
 
 const suffix = '.json';
 
-/** Each acceptance has a content of its own, so two fronts that accept the same job never write one file. */
+/** Each acceptance has its own content, so two fronts that accept the same job never write the same file. */
 const fileOf = ({record}: HeldJob): string => `${encodeURIComponent(record.content)}${suffix}`;
 
-/** Why a job is not held. `isGone`: nothing of it is left on the disk, so that it will not come back with the next start. */
+/** Why a job is not held. `isGone`: nothing of it is left on the disk, so it will not reappear at the next start. */
 export type JournalFailure = {
 	readonly isGone: boolean;
 	readonly reason: string;
@@ -24,12 +24,12 @@
 export class JobJournal {
 	readonly #dir: string;
 
-	/** @param dir - A folder of its own; it is made when it is missing. */
+	/** @param dir - A folder that nothing else uses; it is created if it is missing. */
 	constructor(dir: string) {
 		this.#dir = dir;
 	}
 
-	/** @returns The jobs that were held before. A torn file was never confirmed to anybody and is left out. */
+	/** @returns The jobs that were held before. Torn files are skipped, since they were never confirmed to anybody. */
 	async load(): Promise<HeldJob[]> {
 		await mkdir(this.#dir, {recursive: true});
 		const names = await readdir(this.#dir);
@@ -40,14 +40,14 @@
 	/**
 	Writes a job to the disk, which may be full or failing.
 
-	What a failed write leaves is removed: a file that was written whole, and whose sync failed, would be read at the next start, and a job would run that its caller was told will never run.
+	What a failed write leaves is removed: a file that was written completely, but whose sync failed, would be read at the next start, and a job would run that its caller was told will never run.
 	*/
 	async hold(job: HeldJob): Promise<Either<JournalFailure, void>> {
 		return EitherAsync(async () => this.#write(job))
 			.chainLeft(err => EitherAsync(async ({throwE}) => throwE({isGone: await this.#isRemoved(job), reason: String(err)})));
 	}
 
-	/** Without a sync of the folder, a power loss could bring back a job that has long been done and removed. */
+	/** Removes a job. Without a sync of the folder, a power loss could restore a job that has long been finished and removed. */
 	async drop(job: HeldJob): Promise<void> {
 		await unlink(path.join(this.#dir, fileOf(job)));
 		await this.#syncDir();
--- a/src/gateway/keeping/keeper-pool.ts
+++ b/src/gateway/keeping/keeper-pool.ts
@@ -1,25 +1,25 @@
 /**
-Asks keepers to hold a job while the object API does not take it. A job is held once enough disks have it that it outlives the loss of as many as may be lost at once.
+Asks keepers to hold a job while the object API does not accept it. A job counts as held once it is on enough disks to survive the loss of as many as may be lost at once.
 */
 import type {RpcClient} from '../../io/rpc-client.js';
 import {holdJobMethod, type HeldJob, type HoldAnswer} from './held-job.js';
 
-/** `none`: no keeper has it. `partly`: some may, so it may come to stand in the object API. */
+/** `none`: no keeper has the job. `partly`: some may have it, so its record may appear in the object API. */
 export type HoldOutcome = 'held' | 'partly' | 'none';
 
-/** What asking needs. */
+/** Dependencies of the pool. */
 export type KeeperPoolParts = {
 	readonly rpc: RpcClient;
-	/** Where keepers take calls, as `ip:port`. */
+	/** The addresses at which keepers take calls, as `ip:port`. */
 	readonly keeperAddresses: () => readonly string[];
-	/** Disks that may be lost at once. */
+	/** The number of disks that may be lost at once. */
 	readonly toleratedLosses: number;
 };
 
-/** A keeper syncs a file and a folder, some ten milliseconds each; in milliseconds. */
+/** The timeout of a keeper's answer, in milliseconds: it syncs a file and a folder, some ten milliseconds each. */
 const answerMs = 400;
 
-/** Keepers that are asked beyond those that are needed: entries of some may be out of date. */
+/** The number of keepers that are asked beyond those that are needed, since the registrations of some may be out of date. */
 const spareKeepers = 3;
 
 /** See the module's head. */
@@ -30,7 +30,7 @@
 		this.#parts = parts;
 	}
 
-	/** Whether there are enough keepers to ask. */
+	/** Whether there are as many keepers as copies are needed. */
 	get isSufficient(): boolean {
 		return this.#parts.keeperAddresses().length >= this.#copies;
 	}
