--- a/src/gateway/batch/batch-policy.steps.ts
+++ b/src/gateway/batch/batch-policy.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the policy of batch places.
+Steps for the scheduling policy of batch items.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -42,7 +42,7 @@
 	assert.equal(this.items.toSorted(byUrgency(this.length, now)).map(({name}) => name).join(', '), names);
 });
 
-Then('an item with {int} ms to spare leaves {int} places free', (slack: number, places: number) => {
+Then('an item with {int} ms to spare leaves {int} slots free', (slack: number, places: number) => {
 	assert.equal(reservedSlots(slack), places);
 });
 
@@ -50,20 +50,20 @@
 const takenBy = (processes: number, free: number, random: SeededRandom): number => Array.from({length: processes}, () => slotAllowance(free, {own: {timely: 5, late: 1}, all: {timely: 5 * processes, late: processes}}, random.next()))
 	.reduce((sum, taken) => sum + taken, 0);
 
-When('{int} processes look at {int} free places', function (this: PolicyWorld, processes: number, free: number) {
+When('{int} processes review {int} free slots', function (this: PolicyWorld, processes: number, free: number) {
 	this.taken = takenBy(processes, free, new SeededRandom(1));
 });
 
-When('{int} processes look at {int} free places {int} times', function (this: PolicyWorld, processes: number, free: number, times: number) {
+When('{int} processes review {int} free slots {int} times', function (this: PolicyWorld, processes: number, free: number, times: number) {
 	const random = new SeededRandom(1);
 	this.taken = Array.from({length: times}, () => takenBy(processes, free, random)).reduce((sum, taken) => sum + taken, 0) / times;
 });
 
-Then('they take {int} places', function (this: PolicyWorld, places: number) {
+Then('they take {int} slots', function (this: PolicyWorld, places: number) {
 	assert.equal(this.taken, places);
 });
 
-Then('they take between {int} and {int} places a time', function (this: PolicyWorld, least: number, most: number) {
+Then('they take between {int} and {int} slots per review', function (this: PolicyWorld, least: number, most: number) {
 	assert.ok(this.taken >= least && this.taken <= most, String(this.taken));
 });
 
@@ -73,7 +73,7 @@
 	.map(seed => new BatchWaveModel({...wave, random: new SeededRandom(seed), draws: new SeededRandom(100 + seed)}).run())
 	.reduce((sum, share) => sum + share, 0) * 100 / seeds.length;
 
-Given('{int} places under waves of calls, and {float} items a second', function (this: PolicyWorld, places: number, perSecond: number) {
+Given('{int} slots under waves of calls, and {float} items a second', function (this: PolicyWorld, places: number, perSecond: number) {
 	this.wave = {places, perSecond, isSlowdownEstimated: true};
 });
 
@@ -82,12 +82,12 @@
 	assert.ok(this.share >= percent, String(this.share));
 });
 
-Then('at least {int} % more than if interruptions were not counted in', function (this: PolicyWorld, percent: number) {
+Then('at least {int} % more than if interruptions were ignored', function (this: PolicyWorld, percent: number) {
 	const without = percentOnTime({...this.wave, isSlowdownEstimated: false});
 	assert.ok(this.share - without >= percent, `${this.share} against ${without}`);
 });
 
-Given('{int} processes that share them', function (this: PolicyWorld, processes: number) {
+Given('{int} processes that share the slots', function (this: PolicyWorld, processes: number) {
 	this.wave = {...this.wave, processes};
 });
 
@@ -100,16 +100,16 @@
 	this.own = {timely, late};
 });
 
-Given('others with {int} timely and {int} late items', function (this: PolicyWorld, timely: number, late: number) {
+Given('other processes with {int} timely and {int} late items', function (this: PolicyWorld, timely: number, late: number) {
 	this.others = {timely, late};
 });
 
-When('it looks at {int} free places', function (this: PolicyWorld, free: number) {
+When('it reviews {int} free slots', function (this: PolicyWorld, free: number) {
 	const {own, others} = this;
 	const all = {timely: own.timely + others.timely, late: own.late + others.late};
 	this.taken = slotAllowance(free, {own, all}, 0);
 });
 
-Then('it takes {int} places', function (this: PolicyWorld, places: number) {
+Then('it takes {int} slots', function (this: PolicyWorld, places: number) {
 	assert.equal(this.taken, places);
 });
--- a/src/gateway/batch/job-claims.steps.ts
+++ b/src/gateway/batch/job-claims.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for claims, on the tables alone and in time that the steps set.
+Steps for claims, on tables in memory and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -27,7 +27,7 @@
 const self = branded<MemberName>('front-1');
 const jobId = (name: string): BatchJobId => branded<BatchJobId>(name);
 
-/** Between two reviews, in milliseconds. */
+/** The interval between two reviews, in milliseconds. */
 const reviewMs = 150;
 
 /** Longer than a process that has just started listens to its peers, in milliseconds. */
@@ -70,7 +70,7 @@
 	this.now += ms;
 });
 
-Given('process {string} goes on for {int} ms', function (this: ClaimsWorld, _name: string, ms: number) {
+Given('process {string} continues for {int} ms', function (this: ClaimsWorld, _name: string, ms: number) {
 	const reviews = Math.ceil(ms / reviewMs);
 	Array.from({length: reviews}).forEach(() => {
 		this.now += ms / reviews;
@@ -78,7 +78,7 @@
 	});
 });
 
-Given('process {string} did not know where its peers are until now', function (this: ClaimsWorld, _name: string) {
+Given('process {string} did not have the addresses of its peers until now', function (this: ClaimsWorld, _name: string) {
 	this.membersKnownAt = this.now;
 });
 
--- a/src/gateway/batch/job-intake.steps.ts
+++ b/src/gateway/batch/job-intake.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the intake of jobs, on an object API in memory whose calls another writer slips in before.
+Steps for the intake of jobs, on an object API in memory that lets another writer in before a call.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -40,7 +40,7 @@
 	name: 'notes', host: 'h', pathPrefix: '/', kind: 'batch', timeoutMs: 1000, latencyTargetMs: 500, maxRuns: 3, isResumable: true, isAnonymous: false, priority: 0, targets: [], batch: {dueMs: 1000, giveUpMs: 1000, maxWaitingTokens: limit},
 });
 
-/** Slips in another front's records just before this front's record of a job is created, once. */
+/** Runs a write of another front just before this front's record of a job is created, once. */
 const beforeOwnRecord = (api: FakeObjectApi, slipIn: () => Promise<unknown>) => {
 	api.beforeCall = async (call, kind, name) => {
 		if (call === 'create' && kind === 'BatchRecord' && name === recordNames.job(jobId('a'))) {
@@ -57,7 +57,7 @@
 	this.jobIndex = new JobIndex(feed);
 	const metrics = this.register(new PrometheusMetrics());
 	feed.start();
-	await until(() => this.jobIndex.isKnown, 'the records are known');
+	await until(() => this.jobIndex.isKnown, 'the records are loaded');
 	this.intake = new JobIntake({
 		api: this.api, feed, jobIndex: this.jobIndex, contents: new ContentStore(this.api), keeperPool: noKeepers, processCount: () => 1, clock, log, metrics,
 	});
@@ -67,9 +67,9 @@
 	beforeOwnRecord(this.api, async () => this.api.create('BatchRecord', recordNames.job(jobId(job)), foreignRecord(job, tokens, tokens - 1)));
 });
 
-Given('a job of {int} tokens is known to wait', async function (this: IntakeWorld, tokens: number) {
+Given('a job of {int} tokens waits', async function (this: IntakeWorld, tokens: number) {
 	await this.api.create('BatchRecord', recordNames.job(jobId('b')), foreignRecord('b', tokens, this.limit));
-	await until(() => this.jobIndex.job(jobId('b')) !== undefined, 'the job is known');
+	await until(() => this.jobIndex.job(jobId('b')) !== undefined, 'the job is in the index');
 });
 
 Given('another front\'s job of {int} tokens is written just before this one', function (this: IntakeWorld, tokens: number) {
@@ -82,7 +82,7 @@
 	});
 });
 
-Given('the first try to write a record stays without an answer, and without effect', function (this: IntakeWorld) {
+Given('the first attempt to write a record gets no answer and has no effect', function (this: IntakeWorld) {
 	const create = this.api.create.bind(this.api);
 	this.api.create = async (kind, name, value) => {
 		if (kind !== 'BatchRecord' || name !== recordNames.job(jobId('a'))) {
@@ -110,6 +110,6 @@
 	assert.notEqual(this.outcome, 'accepted');
 });
 
-Then('no record of {string} stands', function (this: IntakeWorld, job: string) {
+Then('no record of {string} exists', function (this: IntakeWorld, job: string) {
 	assert.ok(!this.api.all('BatchRecord').some(({name}) => name === recordNames.job(jobId(job))));
 });
--- a/src/gateway/batch/job-run.steps.ts
+++ b/src/gateway/batch/job-run.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the items of a job, with contents that the steps give and runs that do nothing.
+Steps for the items of a job, with contents from the steps and runs that do nothing.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -24,7 +24,7 @@
 	failedRuns: FailedRuns;
 	cuts: number;
 	results: Map<BatchItemId, ItemResult>;
-	/** Of items that were made to run here. */
+	/** The states of items that were made to run here. */
 	states: Map<string, ItemState>;
 };
 
@@ -122,7 +122,7 @@
 	assert.deepEqual(this.results.get(itemId(name)), {id: itemId(name), state: 'completed', output: 'whole'});
 });
 
-Then('its run has been cut off', function (this: JobRunWorld) {
+Then('its run has been cancelled', function (this: JobRunWorld) {
 	assert.equal(this.cuts, 1);
 });
 
@@ -140,7 +140,7 @@
 	assert.equal(this.cuts, 0);
 });
 
-Then('item {string} is not to go to {string} again', function (this: JobRunWorld, name: string, replica: string) {
+Then('item {string} waits and has failed at {string}', function (this: JobRunWorld, name: string, replica: string) {
 	assert.ok(waitingState(this, name));
 	assert.ok(this.failedRuns.of(itemId(name)).some(run => run.replica === branded<ReplicaId>(replica)));
 });
--- a/src/gateway/batch/result-writer.steps.ts
+++ b/src/gateway/batch/result-writer.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the writer of results, on an object API in memory and a clock whose sleepers wake up when the test says so.
+Steps for the writer of results, on an object API in memory and a clock whose sleeps end when a step says so.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -16,7 +16,7 @@
 import {ContentStore} from './content-store.js';
 import {ResultWriter} from './result-writer.js';
 
-/** Tells how long is slept, and ends all sleep at once. */
+/** A clock that records the length of each sleep and ends all sleeps on request. */
 class PlayedClock implements Clock {
 	readonly slept: number[] = [];
 	readonly #system = new SystemClock();
@@ -68,7 +68,7 @@
 	const feed = this.register(new ObjectFeed({api: this.api, clock: new SystemClock(), log}, 'BatchRecord', {waitMs: 50, mayLag: false}));
 	const jobIndex = new JobIndex(feed);
 	feed.start();
-	await until(() => jobIndex.job(job) !== undefined, 'the job is known');
+	await until(() => jobIndex.job(job) !== undefined, 'the job is in the index');
 	this.writer = this.register(new ResultWriter({
 		api: this.api, feed, jobIndex, contents: new ContentStore(this.api), clock: this.clock, log,
 	}, () => jobIndex.job(job), () => dueMs));
@@ -78,7 +78,7 @@
 	this.writer.add({id: itemId(item), state: 'completed', output: 'text'});
 });
 
-When('the time of gathering is over', function (this: WriterWorld) {
+When('the gathering time is over', function (this: WriterWorld) {
 	this.clock.wakeAll();
 });
 
--- a/src/gateway/batch/slot-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the places that a process takes, on the tables alone and in time that the steps set.
+Steps for the slots that a process takes, on tables in memory and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -43,7 +43,7 @@
 	});
 };
 
-Given('a replica of {int} places with {int} calls, and one of {int} places without any', function (this: FinderWorld, slots: number, online: number, otherSlots: number) {
+Given('a replica of {int} slots with {int} calls, and one of {int} slots without any', function (this: FinderWorld, slots: number, online: number, otherSlots: number) {
 	this.now = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	const directory = new ReplicaDirectory();
@@ -57,22 +57,22 @@
 	});
 });
 
-Given('peer {string} tells of {int} timely and {int} late items', function (this: FinderWorld, member: string, timely: number, late: number) {
+Given('peer {string} announces {int} timely and {int} late items', function (this: FinderWorld, member: string, timely: number, late: number) {
 	tell(this, member, [{route: route.name, timely, late}]);
 });
 
-Given('peer {string} tells of {int} timely and {int} late items of another route', function (this: FinderWorld, member: string, timely: number, late: number) {
+Given('peer {string} announces {int} timely and {int} late items of another route', function (this: FinderWorld, member: string, timely: number, late: number) {
 	tell(this, member, [{route: 'digests', timely, late}]);
 });
 
-Given('peer {string} tells nothing of its items', function (this: FinderWorld, member: string) {
+Given('peer {string} announces nothing of its items', function (this: FinderWorld, member: string) {
 	tell(this, member, undefined);
 });
 
 const lookMs = 250;
 
-Given('it has been silent for {int} seconds', function (this: FinderWorld, seconds: number) {
-	// A front looks for silent peers several times a second; a longer time without a look is a pause of its own.
+Given('it has been unresponsive for {int} seconds', function (this: FinderWorld, seconds: number) {
+	// A front checks for unresponsive peers several times a second; a longer time without a check counts as a pause of the front itself.
 	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += lookMs) {
 		this.now += lookMs;
 		this.peers.removeUnresponsive();
@@ -87,14 +87,14 @@
 	world.taken = Array.from({length: times}, () => world.finder.allowance(seeker, own, initialRunEstimate)).reduce((sum, places) => sum + places, 0) / times;
 };
 
-When('{int} items that are late look for places {int} times', function (this: FinderWorld, items: number, times: number) {
+When('{int} late items request slots {int} times', function (this: FinderWorld, items: number, times: number) {
 	look(this, {items, dueInMs: -1000, times});
 });
 
-When('{int} items that are due in {int} seconds look for places {int} times', function (this: FinderWorld, items: number, seconds: number, times: number) {
+When('{int} items that are due in {int} seconds request slots {int} times', function (this: FinderWorld, items: number, seconds: number, times: number) {
 	look(this, {items, dueInMs: 1000 * seconds, times});
 });
 
-Then('they may take {float} places at a time, on the mean', function (this: FinderWorld, places: number) {
+Then('they may take {float} slots at a time on average', function (this: FinderWorld, places: number) {
 	assert.ok(Math.abs(this.taken - places) <= 0.1, String(this.taken));
 });
--- a/src/gateway/keeping/held-jobs.steps.ts
+++ b/src/gateway/keeping/held-jobs.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the jobs that keepers hold, on a folder of their own and an object API in memory.
+Steps for the jobs that keepers hold, on a temporary folder and an object API in memory.
 */
 import assert from 'node:assert/strict';
 import {
@@ -85,13 +85,13 @@
 	await symlink('/dev/full', path.join(this.folder, 'jobs', `held-${job}.json`));
 });
 
-Given('a keeper\'s disk that is gone', async function (this: HoldingWorld) {
+Given('a keeper\'s disk that has failed', async function (this: HoldingWorld) {
 	await open(this);
 	await rm(path.join(this.folder, 'jobs'), {recursive: true});
 	await writeFile(path.join(this.folder, 'jobs'), '');
 });
 
-Given('a keeper whose object API answers nothing for a while', async function (this: HoldingWorld) {
+Given('a keeper whose object API is unavailable for a while', async function (this: HoldingWorld) {
 	await open(this);
 	const settings = keeperSettingsSchema.parse({
 		name: keeperName, failureDomain: 'hall', peerListen: '127.0.0.1:0', dataDir: this.folder, objectApi: {address: '127.0.0.1:1'},
@@ -103,8 +103,8 @@
 	await this.keeper.start();
 });
 
-When('operators wish the keeper\'s VM to be emptied', async function (this: HoldingWorld) {
-	await until(() => this.api.calls.watch > 0, 'the keeper follows the wishes');
+When('operators request that the keeper\'s VM be emptied', async function (this: HoldingWorld) {
+	await until(() => this.api.calls.watch > 0, 'the keeper watches the retirements');
 	const update = this.api.update.bind(this.api);
 	this.api.update = async (kind, name, value, version) => {
 		this.api.down = kind === 'Retirement';
@@ -124,21 +124,21 @@
 	assert.equal(answered.unsafeCoerce(), 'refused');
 });
 
-Then('the wish is answered once the object API is back', async function (this: HoldingWorld) {
-	await until(() => (this.api.all<{state?: string}>('Retirement')[0]?.value.state) === 'done', 'the wish is answered');
+Then('the request is answered once the object API is available again', async function (this: HoldingWorld) {
+	await until(() => (this.api.all<{state?: string}>('Retirement')[0]?.value.state) === 'done', 'the request is answered');
 });
 
 When('the keeper holds {string}', async function (this: HoldingWorld, job: string) {
 	this.answer = await this.jobs.hold(heldJob(job));
 });
 
-When('the other front takes its record back', async function (this: HoldingWorld) {
+When('the other front removes its record', async function (this: HoldingWorld) {
 	await this.api.remove('BatchRecord', recordNames.job(jobId('a')));
 });
 
-Then('{string} is still held, and the other record stands', async function (this: HoldingWorld, job: string) {
+Then('{string} is still held, and the other record exists', async function (this: HoldingWorld, job: string) {
 	const before = this.api.calls.get;
-	await until(() => this.api.calls.get > before, 'the keeper has looked at the record');
+	await until(() => this.api.calls.get > before, 'the keeper has read the record');
 	assert.equal(this.jobs.size, 1);
 	assert.equal(recordOf(this, job)?.content, `foreign-${job}`);
 });
@@ -159,7 +159,7 @@
 });
 
 Then('the record of {string} is the keeper\'s', async function (this: HoldingWorld, job: string) {
-	await until(() => recordOf(this, job)?.content === `held-${job}`, 'the job stands');
+	await until(() => recordOf(this, job)?.content === `held-${job}`, 'the record exists');
 });
 
 Then('the answer is {string}, and the disk holds no job', async function (this: HoldingWorld, answer: HoldAnswer) {
