--- a/src/gateway/batch/batch-job.ts
+++ b/src/gateway/batch/batch-job.ts
@@ -24,12 +24,12 @@
 	readonly isHeld: boolean;
 	readonly tokens: number;
 	readonly #items: ReadonlyMap<BatchItemId, ItemSummary>;
-	readonly #listed = new Set<BatchItemId>();
+	readonly #committed = new Set<BatchItemId>();
 	readonly #results: CommittedResult[] = [];
-	readonly #handovers: string[] = [];
+	readonly #handoverContents: string[] = [];
 	readonly #handoverRecords: string[] = [];
-	#pages = 0;
-	#listedTokens = 0;
+	#pageCount = 0;
+	#committedTokens = 0;
 	#hasEnded = false;
 
 	constructor(record: JobRecord, revision: Revision, {isAdmitted, isHeld = false}: {isAdmitted: boolean; isHeld?: boolean}) {
@@ -52,7 +52,7 @@
 
 	/** The number of pages, which is also the number of the next page. */
 	get pageCount(): number {
-		return this.#pages;
+		return this.#pageCount;
 	}
 
 	/** Names of the contents of its pages. */
@@ -71,17 +71,17 @@
 
 	/** Whether the job was admitted, has not ended and lacks results. */
 	get isOpen(): boolean {
-		return this.isAdmitted && !this.#hasEnded && this.#listed.size < this.#items.size;
+		return this.isAdmitted && !this.#hasEnded && this.#committed.size < this.#items.size;
 	}
 
 	/** Tokens of its items that have no result; 0 if it was not admitted or has ended. */
 	get waitingTokens(): number {
-		return this.isAdmitted && !this.#hasEnded ? this.tokens - this.#listedTokens : 0;
+		return this.isAdmitted && !this.#hasEnded ? this.tokens - this.#committedTokens : 0;
 	}
 
 	/** Names of the contents with the progress from processes that shut down. */
 	get handoverContents(): readonly string[] {
-		return this.#handovers;
+		return this.#handoverContents;
 	}
 
 	/** Whether the account may read, end and resubmit the job. A job that was accepted without an account is accessible to all. */
@@ -94,7 +94,7 @@
 	}
 
 	isCommitted(id: BatchItemId): boolean {
-		return this.#listed.has(id);
+		return this.#committed.has(id);
 	}
 
 	end(): void {
@@ -107,11 +107,11 @@
 	@returns Whether it was added; any other page has been added before or is not a page of this job.
 	*/
 	addPage({number, results, content}: PageRecord): boolean {
-		if (number !== this.#pages) {
+		if (number !== this.#pageCount) {
 			return false;
 		}
 
-		this.#pages += 1;
+		this.#pageCount += 1;
 		results.forEach(result => {
 			this.#add({...result, content});
 		});
@@ -123,16 +123,16 @@
 	@param record - The name of the handover record.
 	*/
 	addHandover(content: string, record: string): void {
-		this.#handovers.push(content);
+		this.#handoverContents.push(content);
 		this.#handoverRecords.push(record);
 	}
 
 	/** An item has one position: a second result for it, which no writer creates, would be ignored. */
 	#add(result: CommittedResult) {
 		const item = this.#items.get(result.id);
-		if (item && !this.#listed.has(result.id)) {
-			this.#listed.add(result.id);
-			this.#listedTokens += item.tokens;
+		if (item && !this.#committed.has(result.id)) {
+			this.#committed.add(result.id);
+			this.#committedTokens += item.tokens;
 			this.#results.push(result);
 		}
 	}
--- a/src/gateway/batch/batch-policy.steps.ts
+++ b/src/gateway/batch/batch-policy.steps.ts
@@ -11,7 +11,7 @@
 } from './batch-policy.js';
 
 type PolicyWorld = TestWorld & {
-	length: RunEstimate;
+	estimate: RunEstimate;
 	items: Array<WaitingItem & {readonly name: string}>;
 	taken: number;
 	wave: Omit<BatchWave, 'random'>;
@@ -24,7 +24,7 @@
 const eventsPerItem = 100;
 
 Given('runs that take {int} ms', function (this: PolicyWorld, ms: number) {
-	this.length = {
+	this.estimate = {
 		msPerEvent: ms / eventsPerItem, eventsPerItem, slowdown: 1, slowdownDeviation: 0,
 	};
 	this.items = [];
@@ -39,11 +39,11 @@
 });
 
 Then('the order is {string}', function (this: PolicyWorld, names: string) {
-	assert.equal(this.items.toSorted(byUrgency(this.length, now)).map(({name}) => name).join(', '), names);
+	assert.equal(this.items.toSorted(byUrgency(this.estimate, now)).map(({name}) => name).join(', '), names);
 });
 
-Then('an item with {int} ms to spare leaves {int} slots free', (slack: number, places: number) => {
-	assert.equal(reservedSlots(slack), places);
+Then('an item with {int} ms to spare leaves {int} slots free', (slack: number, slots: number) => {
+	assert.equal(reservedSlots(slack), slots);
 });
 
 /** Each process has some items that can be on time. */
@@ -59,8 +59,8 @@
 	this.taken = Array.from({length: times}, () => takenBy(processes, free, random)).reduce((sum, taken) => sum + taken, 0) / times;
 });
 
-Then('they take {int} slots', function (this: PolicyWorld, places: number) {
-	assert.equal(this.taken, places);
+Then('they take {int} slots', function (this: PolicyWorld, slots: number) {
+	assert.equal(this.taken, slots);
 });
 
 Then('they take between {int} and {int} slots per review', function (this: PolicyWorld, least: number, most: number) {
@@ -110,6 +110,6 @@
 	this.taken = slotAllowance(free, {own, all}, 0);
 });
 
-Then('it takes {int} slots', function (this: PolicyWorld, places: number) {
-	assert.equal(this.taken, places);
+Then('it takes {int} slots', function (this: PolicyWorld, slots: number) {
+	assert.equal(this.taken, slots);
 });
--- a/src/gateway/batch/batch-policy.ts
+++ b/src/gateway/batch/batch-policy.ts
@@ -28,27 +28,27 @@
 };
 
 /** The weight of a new observation in the moving averages: about the last ten runs decide. */
-const learningShare = 0.1;
+const smoothingFactor = 0.1;
 
 /** An item must have time for the mean slowdown plus this many deviations: about one in twenty items takes longer. */
-const sureDeviations = 2;
+const marginDeviations = 2;
 
 /** @returns The estimate after one more run, of `events` events in `elapsedMs`, which completed an item with `total` events. */
-export const updateEstimate = (known: RunEstimate, {events, elapsedMs, total}: {events: number; elapsedMs: number; total: number}): RunEstimate => events === 0
-	? known
+export const updateEstimate = (current: RunEstimate, {events, elapsedMs, total}: {events: number; elapsedMs: number; total: number}): RunEstimate => events === 0
+	? current
 	: {
-		...known,
-		msPerEvent: known.msPerEvent + (learningShare * ((elapsedMs / events) - known.msPerEvent)),
-		eventsPerItem: known.eventsPerItem + (learningShare * (total - known.eventsPerItem)),
+		...current,
+		msPerEvent: current.msPerEvent + (smoothingFactor * ((elapsedMs / events) - current.msPerEvent)),
+		eventsPerItem: current.eventsPerItem + (smoothingFactor * (total - current.eventsPerItem)),
 	};
 
 /** @returns The estimate after an item was completed `elapsedMs` after its first slot, of which it ran `ranMs`. */
-export const updateSlowdown = (known: RunEstimate, {elapsedMs, ranMs}: {elapsedMs: number; ranMs: number}): RunEstimate => {
-	const stretch = Math.max(1, elapsedMs / Math.max(1, ranMs));
+export const updateSlowdown = (current: RunEstimate, {elapsedMs, ranMs}: {elapsedMs: number; ranMs: number}): RunEstimate => {
+	const observed = Math.max(1, elapsedMs / Math.max(1, ranMs));
 	return {
-		...known,
-		slowdown: known.slowdown + (learningShare * (stretch - known.slowdown)),
-		slowdownDeviation: known.slowdownDeviation + (learningShare * (Math.abs(stretch - known.slowdown) - known.slowdownDeviation)),
+		...current,
+		slowdown: current.slowdown + (smoothingFactor * (observed - current.slowdown)),
+		slowdownDeviation: current.slowdownDeviation + (smoothingFactor * (Math.abs(observed - current.slowdown) - current.slowdownDeviation)),
 	};
 };
 
@@ -60,17 +60,17 @@
 
 With more work than slots, the items that have just enough time for an uninterrupted run come first in the order of due times, and each wave of calls that preempts them makes them late all the same, by a second or two. So an item counts as on time only if its time also suffices for the current slowdown by interruptions plus twice its deviation (batch-policy.feature).
 */
-export const slackMs = (item: WaitingItem, length: RunEstimate, wallNow: number): number => {
-	const {slowdown: stretch, slowdownDeviation: stretchDeviation} = length;
-	return item.dueAt - wallNow - (remainingMs(item, length) * (stretch + (sureDeviations * stretchDeviation)));
+export const slackMs = (item: WaitingItem, estimate: RunEstimate, wallNow: number): number => {
+	const {slowdown, slowdownDeviation} = estimate;
+	return item.dueAt - wallNow - (remainingMs(item, estimate) * (slowdown + (marginDeviations * slowdownDeviation)));
 };
 
 /**
 The order in which items get slots: those that can be on time, by due time; then the late ones, the one with the least work left first.
 */
-export const byUrgency = (length: RunEstimate, wallNow: number) => (a: WaitingItem, b: WaitingItem): number => {
-	const isLateA = slackMs(a, length, wallNow) < 0;
-	const isLateB = slackMs(b, length, wallNow) < 0;
+export const byUrgency = (estimate: RunEstimate, wallNow: number) => (a: WaitingItem, b: WaitingItem): number => {
+	const isLateA = slackMs(a, estimate, wallNow) < 0;
+	const isLateB = slackMs(b, estimate, wallNow) < 0;
 	if (isLateA !== isLateB) {
 		return isLateA ? 1 : -1;
 	}
@@ -81,13 +81,13 @@
 /**
 Slots of each replica that items leave free for the next online calls, so that these need not wait until an item has been preempted. With time to spare two are left, as many calls as arrive at a replica within the tenth of a second that preemption may take; the closer an item is to its due time, the fewer.
 */
-const reserveSteps: ReadonlyArray<{readonly slackMs: number; readonly places: number}> = [
-	{slackMs: 8000, places: 2},
-	{slackMs: 3000, places: 1},
+const reserveSteps: ReadonlyArray<{readonly slackMs: number; readonly slotCount: number}> = [
+	{slackMs: 8000, slotCount: 2},
+	{slackMs: 3000, slotCount: 1},
 ];
 
 /** @param slack - See {@link slackMs}. */
-export const reservedSlots = (slack: number): number => reserveSteps.find(step => slack >= step.slackMs)?.places ?? 0;
+export const reservedSlots = (slack: number): number => reserveSteps.find(step => slack >= step.slackMs)?.slotCount ?? 0;
 
 /** The numbers of items that wait for a slot. */
 export type WaitingCounts = {
@@ -97,15 +97,15 @@
 };
 
 /** @returns How many of the items can still be on time, and how many cannot. */
-export const countWaiting = (items: readonly WaitingItem[], length: RunEstimate, wallNow: number): WaitingCounts => {
-	const timely = items.filter(item => slackMs(item, length, wallNow) >= 0).length;
+export const countWaiting = (items: readonly WaitingItem[], estimate: RunEstimate, wallNow: number): WaitingCounts => {
+	const timely = items.filter(item => slackMs(item, estimate, wallNow) >= 0).length;
 	return {timely, late: items.length - timely};
 };
 
 /** The share of the slots that late items keep while timely ones wait, so that they are completed, and so that no slot stays idle for long if a process cannot run the timely items that it counts, because it does not reach the replicas. */
-const shareOfLate = 0.05;
+const lateShare = 0.05;
 
-const partOf = (places: number, own: number, all: number): number => all === 0 ? 0 : places * own / all;
+const proportionalShare = (slotCount: number, own: number, all: number): number => all === 0 ? 0 : slotCount * own / all;
 
 /**
 The number of slots that one process takes in one review: its share of the slots that timely items need, in proportion to its own timely items, and its share of the slots that these leave.
@@ -118,8 +118,8 @@
 @param chance - A random number in [0, 1): the fraction of a slot in the share is the probability of taking one more.
 */
 export const slotAllowance = (free: number, {own, all}: {readonly own: WaitingCounts; readonly all: WaitingCounts}, chance: number): number => {
-	const keptForLate = all.late > 0 ? shareOfLate * free : 0;
-	const forTimely = Math.min(free - keptForLate, all.timely);
-	const share = partOf(forTimely, own.timely, all.timely) + partOf(free - forTimely, own.late, all.late);
+	const reservedForLate = all.late > 0 ? lateShare * free : 0;
+	const forTimely = Math.min(free - reservedForLate, all.timely);
+	const share = proportionalShare(forTimely, own.timely, all.timely) + proportionalShare(free - forTimely, own.late, all.late);
 	return Math.floor(share) + (chance < share % 1 ? 1 : 0);
 };
--- a/src/gateway/batch/batch-retention.ts
+++ b/src/gateway/batch/batch-retention.ts
@@ -27,10 +27,10 @@
 };
 
 /** The interval between sweeps, in milliseconds; a job that stays some seconds longer costs nothing. */
-const lookMs = 10_000;
+const sweepIntervalMs = 10_000;
 
 /** The wall clocks of two processes may differ by this much, in milliseconds. */
-const clockSlackMs = 5000;
+const maxClockSkewMs = 5000;
 
 type Removal = {readonly kind: ObjectKind; readonly name: string};
 
@@ -47,7 +47,7 @@
 export class BatchRetention implements Disposable {
 	readonly #parts: RetentionParts;
 	#timer: NodeJS.Timeout | undefined;
-	#isBusy = false;
+	#isSweeping = false;
 
 	constructor(parts: RetentionParts) {
 		this.#parts = parts;
@@ -56,34 +56,34 @@
 	start(): void {
 		this.#timer = setInterval(() => {
 			void this.removeExpired();
-		}, lookMs);
+		}, sweepIntervalMs);
 	}
 
 	/** Removes the expired jobs for which this process ranks first. */
 	async removeExpired(): Promise<void> {
-		if (this.#isBusy) {
+		if (this.#isSweeping) {
 			return;
 		}
 
-		this.#isBusy = true;
-		const old = [...this.#parts.jobIndex.all].filter(job => this.#isOver(job) && this.#isOwn(job));
-		for (const job of old) {
+		this.#isSweeping = true;
+		const expired = [...this.#parts.jobIndex.all].filter(job => this.#isExpired(job) && this.#isAssigned(job));
+		for (const job of expired) {
 			await this.#remove(job);
 		}
 
-		this.#isBusy = false;
+		this.#isSweeping = false;
 	}
 
 	dispose(): void {
 		clearInterval(this.#timer);
 	}
 
-	#isOver(job: BatchJob): boolean {
-		const {clock, resultRetentionMs: keptMs} = this.#parts;
-		return !job.isOpen && clock.wall() > job.record.submittedAt + keptMs + clockSlackMs;
+	#isExpired(job: BatchJob): boolean {
+		const {clock, resultRetentionMs} = this.#parts;
+		return !job.isOpen && clock.wall() > job.record.submittedAt + resultRetentionMs + maxClockSkewMs;
 	}
 
-	#isOwn({id}: BatchJob): boolean {
+	#isAssigned({id}: BatchJob): boolean {
 		const {self, peers} = this.#parts;
 		return rankMembers(id, [self, ...peers.live.map(({state}) => state.member)])[0] === self;
 	}
--- a/src/gateway/batch/batch-runner.ts
+++ b/src/gateway/batch/batch-runner.ts
@@ -75,28 +75,28 @@
 };
 
 /** An item that waits for a slot. */
-type WaitingPlace = SlotRequest & {
+type PendingItem = SlotRequest & {
 	readonly run: JobRun;
 	readonly job: BatchJob;
 	readonly state: ItemState;
 };
 
 /** An item with the replica at which a slot was found for it. */
-type ItemPlace = WaitingPlace & {
+type AssignedItem = PendingItem & {
 	readonly replica: Replica;
 };
 
 /** Changes of load come in bursts; free slots are reviewed once for all changes within this many milliseconds. */
-const burstMs = 10;
+const coalesceMs = 10;
 
 /** After slots were taken, the peers must have received this before more are taken; a message takes at most this long within a region, in milliseconds. */
-const travelMs = 20;
+const maxTransitMs = 20;
 
 /** Without any change, milliseconds until free slots and claims are reviewed again. */
-const reviewMs = 150;
+const reviewIntervalMs = 150;
 
-const groupByRoute = (items: readonly WaitingPlace[]): ReadonlyMap<string, readonly WaitingPlace[]> => {
-	const groups = new Map<string, WaitingPlace[]>();
+const groupByRoute = (items: readonly PendingItem[]): ReadonlyMap<string, readonly PendingItem[]> => {
+	const groups = new Map<string, PendingItem[]>();
 	items.forEach(item => {
 		const group = groups.get(item.route.name) ?? [];
 		group.push(item);
@@ -111,8 +111,8 @@
 export class BatchRunner implements Disposable {
 	readonly #parts: BatchRunnerParts;
 	readonly #runs: JobRuns;
-	readonly #finder: SlotFinder;
-	readonly #terms: JobRoutePolicy;
+	readonly #slotFinder: SlotFinder;
+	readonly #routePolicy: JobRoutePolicy;
 	readonly #onReplicaFault: Readonly<Partial<Record<ItemRunEnd, (replica: Replica) => void>>> = {
 		unreachable: replica => {
 			this.#parts.reachability.noteUnreachable(replica);
@@ -125,37 +125,37 @@
 		},
 	};
 
-	readonly #onWatchedEnd: Readonly<Partial<Record<ItemRunEnd, (state: ItemState, replica: Replica) => void>>> = {
-		finished({trackedContent: watched}) {
-			watched?.noteCompleted();
+	readonly #onTrackedEnd: Readonly<Partial<Record<ItemRunEnd, (state: ItemState, replica: Replica) => void>>> = {
+		finished({trackedContent}) {
+			trackedContent?.noteCompleted();
 		},
-		lost({trackedContent: watched}, replica) {
-			void watched?.noteConnectionLost(replica);
+		lost({trackedContent}, replica) {
+			void trackedContent?.noteConnectionLost(replica);
 		},
 	};
 
-	#runLength = initialRunEstimate;
+	#runEstimate = initialRunEstimate;
 	#waiting: readonly SharedWaiting[] = [];
 	#nextFillAt = 0;
-	#pending: NodeJS.Timeout | undefined;
-	#review: NodeJS.Timeout | undefined;
+	#fillTimer: NodeJS.Timeout | undefined;
+	#reviewTimer: NodeJS.Timeout | undefined;
 	#isStopped = false;
 
 	constructor(parts: BatchRunnerParts) {
 		this.#parts = parts;
-		const {loads, jobIndex: book, board, clock} = parts;
-		this.#finder = new SlotFinder(parts);
-		this.#terms = new JobRoutePolicy(board, clock);
-		this.#runs = new JobRuns(parts, this.#terms);
+		const {loads, jobIndex, board, clock} = parts;
+		this.#slotFinder = new SlotFinder(parts);
+		this.#routePolicy = new JobRoutePolicy(board, clock);
+		this.#runs = new JobRuns(parts, this.#routePolicy);
 		loads.onLocalChange(replica => {
-			this.#onLoad(replica);
+			this.#onLoadChange(replica);
 		});
 		loads.onPeerChange(replica => {
-			this.#onLoad(replica);
+			this.#onLoadChange(replica);
 		});
-		book.onChange(() => {
-			this.#takeClaims();
-			this.#fillSoon();
+		jobIndex.onChange(() => {
+			this.#reviewClaims();
+			this.#scheduleFill();
 		});
 	}
 
@@ -166,10 +166,10 @@
 
 	/** Starts to review claims and to run items. */
 	start(): void {
-		this.#review = setInterval(() => {
-			this.#takeClaims();
+		this.#reviewTimer = setInterval(() => {
+			this.#reviewClaims();
 			this.#fill();
-		}, reviewMs);
+		}, reviewIntervalMs);
 	}
 
 	/** Cancels all runs and hands the jobs over to peers, with the progress of their items. */
@@ -187,7 +187,7 @@
 	takeOver(handover: JobHandover): boolean {
 		const isTaken = this.#runs.takeOver(handover);
 		if (isTaken) {
-			this.#takeClaims();
+			this.#reviewClaims();
 		}
 
 		return isTaken;
@@ -195,28 +195,28 @@
 
 	dispose(): void {
 		this.#isStopped = true;
-		clearInterval(this.#review);
-		clearTimeout(this.#pending);
+		clearInterval(this.#reviewTimer);
+		clearTimeout(this.#fillTimer);
 		this.#runs.dispose();
 	}
 
-	#takeClaims() {
+	#reviewClaims() {
 		this.#runs.review(() => {
-			this.#fillSoon();
+			this.#scheduleFill();
 		});
 	}
 
-	#onLoad(replica: Replica) {
+	#onLoadChange(replica: Replica) {
 		const count = itemsToPreempt(replica, this.#parts.self);
 		if (count > 0) {
-			this.#cut(replica, count);
+			this.#preempt(replica, count);
 		}
 
-		this.#fillSoon();
+		this.#scheduleFill();
 	}
 
 	/** Preempts the runs with the fewest events, since they lose the least work. */
-	#cut(replica: Replica, count: number) {
+	#preempt(replica: Replica, count: number) {
 		this.#runs.all
 			.flatMap(run => run.running)
 			.filter(({run}) => run?.replica === replica)
@@ -227,17 +227,17 @@
 			});
 	}
 
-	#fillSoon() {
+	#scheduleFill() {
 		const now = this.#parts.clock.now();
-		this.#pending ??= setTimeout(() => {
+		this.#fillTimer ??= setTimeout(() => {
 			this.#fill();
-		}, Math.max(burstMs, this.#nextFillAt - now));
+		}, Math.max(coalesceMs, this.#nextFillAt - now));
 	}
 
 	/** Fills this process's share of the free slots with the most urgent items. */
 	#fill() {
-		clearTimeout(this.#pending);
-		this.#pending = undefined;
+		clearTimeout(this.#fillTimer);
+		this.#fillTimer = undefined;
 		if (this.#isStopped) {
 			return;
 		}
@@ -245,13 +245,13 @@
 		const {clock, replicaFreshness} = this.#parts;
 		if (!replicaFreshness.isFresh) {
 			void replicaFreshness.refresh().then(() => {
-				this.#fillSoon();
+				this.#scheduleFill();
 			});
 			return;
 		}
 
 		const wallNow = clock.wall();
-		const byRoute = groupByRoute(this.#runs.all.flatMap(run => this.#waitingOf(run)));
+		const byRoute = groupByRoute(this.#runs.all.flatMap(run => this.#pendingItemsOf(run)));
 		[...byRoute.values()].forEach(items => {
 			this.#fillRoute(items, wallNow);
 		});
@@ -260,31 +260,31 @@
 			return;
 		}
 
-		this.#nextFillAt = clock.now() + (this.#finder.processCount > 1 ? announcementDelayMs(this.#parts.peers.live.length) + travelMs : 0);
+		this.#nextFillAt = clock.now() + (this.#slotFinder.processCount > 1 ? announcementDelayMs(this.#parts.peers.live.length) + maxTransitMs : 0);
 	}
 
-	#fillRoute(items: readonly WaitingPlace[], wallNow: number) {
-		const urgent = items.toSorted(byUrgency(this.#runLength, wallNow));
-		let left = this.#finder.allowance(urgent[0]!, this.#count(items, wallNow), this.#runLength);
+	#fillRoute(items: readonly PendingItem[], wallNow: number) {
+		const urgent = items.toSorted(byUrgency(this.#runEstimate, wallNow));
+		let remaining = this.#slotFinder.allowance(urgent[0]!, this.#count(items, wallNow), this.#runEstimate);
 		urgent.every(item => {
-			const isStarted = left > 0 && this.#start(item);
-			left -= isStarted ? 1 : 0;
-			return left > 0;
+			const isStarted = remaining > 0 && this.#tryStart(item);
+			remaining -= isStarted ? 1 : 0;
+			return remaining > 0;
 		});
 	}
 
-	#count(items: readonly WaitingPlace[], wallNow: number): WaitingCounts {
-		return countWaiting(items, this.#runLength, wallNow);
+	#count(items: readonly PendingItem[], wallNow: number): WaitingCounts {
+		return countWaiting(items, this.#runEstimate, wallNow);
 	}
 
-	#waitingOf(run: JobRun): WaitingPlace[] {
+	#pendingItemsOf(run: JobRun): PendingItem[] {
 		const {job} = run;
 		if (!job?.isOpen) {
 			return [];
 		}
 
-		const route = this.#terms.routeOf(job);
-		if (route ? this.#terms.isExpired(job, route) : this.#terms.hasLostRoute(job)) {
+		const route = this.#routePolicy.routeOf(job);
+		if (route ? this.#routePolicy.isExpired(job, route) : this.#routePolicy.hasLostRoute(job)) {
 			run.giveUpAll();
 			return [];
 		}
@@ -294,13 +294,13 @@
 		}
 
 		run.giveUpFailed(route);
-		const dueAt = this.#terms.dueAt(job);
-		return run.waiting().filter(state => this.#watch(job, state).heldMs === 0).map(state => ({
+		const dueAt = this.#routePolicy.dueAt(job);
+		return run.waiting().filter(state => this.#track(job, state).heldMs === 0).map(state => ({
 			run, job, route, state, dueAt, events: state.events.length, failedReplicas: new Set(this.#parts.failedRuns.of(state.item.id).map(({replica}) => replica)), needsNewConnection: state.lastEnd === 'broken',
 		}));
 	}
 
-	#watch(job: BatchJob, state: ItemState): TrackedContent {
+	#track(job: BatchJob, state: ItemState): TrackedContent {
 		const {path, body} = state.item;
 		state.trackedContent ??= new TrackedContent(this.#parts, 'batch', {
 			host: job.record.host, method: itemMethod, target: path, body: Buffer.from(body, 'base64'),
@@ -309,50 +309,50 @@
 	}
 
 	/** @returns Whether a slot was found. */
-	#start(item: WaitingPlace): boolean {
-		const place = this.#finder.findSlot(item, this.#runLength);
-		if (place) {
-			this.#send({...item, replica: place.replica}, place.connection);
+	#tryStart(item: PendingItem): boolean {
+		const slot = this.#slotFinder.findSlot(item, this.#runEstimate);
+		if (slot) {
+			this.#send({...item, replica: slot.replica}, slot.connection);
 		}
 
-		return place !== undefined;
+		return slot !== undefined;
 	}
 
-	#send(place: ItemPlace, connection: ReplicaConnection) {
-		const {job, state, replica} = place;
+	#send(assigned: AssignedItem, connection: ReplicaConnection) {
+		const {job, state, replica} = assigned;
 		const {
-			loads, reachability: contacts, dialect, itemHeaders, log, clock,
+			loads, reachability, dialect, itemHeaders, log, clock,
 		} = this.#parts;
 		const {item, events} = state;
 		log.emit(gatewayEvents.itemStarted, {
-			job: job.id, item: item.id, replica: replica.record.id, resumeAfter: events.length, dueInMs: Math.round(this.#terms.dueAt(job) - clock.wall()), ...registrationAge(this.#parts, replica),
+			job: job.id, item: item.id, replica: replica.record.id, resumeAfter: events.length, dueInMs: Math.round(this.#routePolicy.dueAt(job) - clock.wall()), ...registrationAge(this.#parts, replica),
 		});
-		const giveBack = loads.acquireSlot(replica, 'batch');
+		const releaseSlot = loads.acquireSlot(replica, 'batch');
 		const startedAt = clock.now();
 		state.firstStartedAt ??= startedAt;
-		const known = events.length;
+		const eventsBefore = events.length;
 		state.run = new ItemRun({
 			item,
 			replica,
 			connection,
-			reachability: contacts.of(replica),
+			reachability: reachability.of(replica),
 			clock,
 			dialect,
-			isCurrent: () => isEligible(this.#parts, replica),
+			isEligible: () => isEligible(this.#parts, replica),
 			headers: itemHeaders(job.record.host, item.id, item.headers),
 			events,
 			caller: this.#callerOf(job),
 			onEnd: (end, reason) => {
-				giveBack();
+				releaseSlot();
 				log.emit(gatewayEvents.itemRunEnded, {
 					job: job.id, item: item.id, replica: replica.record.id, outcome: end, events: events.length, reason, elapsedMs: Math.round(clock.now() - startedAt),
 				});
 				state.ranMs += clock.now() - startedAt;
 				if (end === 'finished') {
-					this.#learn(place, {events: events.length - known, elapsedMs: clock.now() - startedAt, total: events.length});
+					this.#updateEstimate(assigned, {events: events.length - eventsBefore, elapsedMs: clock.now() - startedAt, total: events.length});
 				}
 
-				this.#onRunEnd(place, end);
+				this.#onRunEnd(assigned, end);
 			},
 		});
 		state.run.start();
@@ -364,17 +364,17 @@
 	}
 
 	/** A late item has waited behind those that could be on time, so it is no sample of how long these take. */
-	#learn({dueAt, state: {firstStartedAt: begunAt = 0, ranMs}}: ItemPlace, lastRun: {events: number; elapsedMs: number; total: number}) {
+	#updateEstimate({dueAt, state: {firstStartedAt = 0, ranMs}}: AssignedItem, lastRun: {events: number; elapsedMs: number; total: number}) {
 		const {clock} = this.#parts;
-		const length = updateEstimate(this.#runLength, lastRun);
-		this.#runLength = clock.wall() <= dueAt ? updateSlowdown(length, {elapsedMs: clock.now() - begunAt, ranMs}) : length;
+		const estimate = updateEstimate(this.#runEstimate, lastRun);
+		this.#runEstimate = clock.wall() <= dueAt ? updateSlowdown(estimate, {elapsedMs: clock.now() - firstStartedAt, ranMs}) : estimate;
 	}
 
-	#onRunEnd({run, route, state, replica}: ItemPlace, end: ItemRunEnd) {
+	#onRunEnd({run, route, state, replica}: AssignedItem, end: ItemRunEnd) {
 		this.#parts.metrics.count('gateway.itemRuns', 1, {outcome: end});
 		this.#onReplicaFault[end]?.(replica);
-		this.#onWatchedEnd[end]?.(state, replica);
+		this.#onTrackedEnd[end]?.(state, replica);
 		run.noteEnd(state, end, {replica: replica.record.id, route});
-		this.#fillSoon();
+		this.#scheduleFill();
 	}
 }
--- a/src/gateway/batch/content-store.ts
+++ b/src/gateway/batch/content-store.ts
@@ -10,9 +10,9 @@
 import {readContent, type BatchContent} from './batch-records.js';
 
 /** The size limit of the cache, in characters: some hundred results, a small part of the memory that a front may use. */
-const maxKeptCharacters = 6_000_000;
+const maxCachedCharacters = 6_000_000;
 
-type Kept = {readonly content: BatchContent; readonly size: number};
+type CachedContent = {readonly content: BatchContent; readonly size: number};
 
 const textSizes: {readonly [K in BatchContent['type']]: (content: Extract<BatchContent, {type: K}>) => number} = {
 	items: ({items}) => items.reduce((sum, {body}) => sum + body.length, 0),
@@ -26,7 +26,7 @@
 export class ContentStore {
 	readonly #api: ObjectApi;
 	/** In the order of last use, the least recently used first. */
-	readonly #kept = new Map<string, Kept>();
+	readonly #cache = new Map<string, CachedContent>();
 	#size = 0;
 
 	constructor(api: ObjectApi) {
@@ -46,20 +46,20 @@
 			return Left(err);
 		}
 
-		this.#keep(name, content);
+		this.#addToCache(name, content);
 		return Right(undefined);
 	}
 
 	/** Caches a content that keepers will write later. */
 	keep(name: string, content: BatchContent): void {
-		this.#keep(name, content);
+		this.#addToCache(name, content);
 	}
 
 	async read<T extends BatchContent['type']>(type: T, name: string): Promise<Either<ApiError, Extract<BatchContent, {type: T}>>> {
-		const kept = this.#kept.get(name);
-		if (kept) {
-			this.#keep(name, kept.content);
-			return Right(kept.content as Extract<BatchContent, {type: T}>);
+		const cached = this.#cache.get(name);
+		if (cached) {
+			this.#addToCache(name, cached.content);
+			return Right(cached.content as Extract<BatchContent, {type: T}>);
 		}
 
 		// A content never changes, so a lagging copy can at most lack it.
@@ -71,29 +71,29 @@
 				return Left({kind: 'unavailable', reason: 'stored content is invalid'});
 			}
 
-			this.#keep(name, content);
+			this.#addToCache(name, content);
 			return Right(content);
 		});
 	}
 
 	/** Removes a content that no record names. If the removal fails, the content takes up storage until its job is removed. */
 	async drop(name: string): Promise<void> {
-		this.#forget(name);
+		this.#evict(name);
 		await this.#api.remove('BatchContent', name);
 	}
 
-	#keep(name: string, content: BatchContent) {
-		this.#forget(name);
+	#addToCache(name: string, content: BatchContent) {
+		this.#evict(name);
 		const size = sizeOf(content);
-		this.#kept.set(name, {content, size});
+		this.#cache.set(name, {content, size});
 		this.#size += size;
-		while (this.#size > maxKeptCharacters && this.#kept.size > 1) {
-			this.#forget(this.#kept.keys().next().value!);
+		while (this.#size > maxCachedCharacters && this.#cache.size > 1) {
+			this.#evict(this.#cache.keys().next().value!);
 		}
 	}
 
-	#forget(name: string) {
-		this.#size -= this.#kept.get(name)?.size ?? 0;
-		this.#kept.delete(name);
+	#evict(name: string) {
+		this.#size -= this.#cache.get(name)?.size ?? 0;
+		this.#cache.delete(name);
 	}
 }
--- a/src/gateway/batch/failed-runs.ts
+++ b/src/gateway/batch/failed-runs.ts
@@ -25,10 +25,10 @@
 };
 
 /** A run is announced again in each message for this long, in milliseconds, so that the loss of a few messages does not lose it. */
-const tellMs = 2000;
+const announceForMs = 2000;
 
 /** The maximum number of runs in one message, the newest ones; about 6 kB. */
-const maxTold = 60;
+const maxAnnounced = 60;
 
 /** The maximum number of items in the table; those whose last failure is the oldest are evicted first. Thousands of items fail while replicas are faulty, and each is finished or tried again within a minute. */
 const maxItems = 5000;
@@ -41,7 +41,7 @@
 	readonly #byItem = new Map<BatchItemId, ReadonlyMap<FailedRunId, FailedRun>>();
 	readonly #startedAt: number;
 	#count = 0;
-	#told: ReadonlyArray<FailedRun & {readonly at: number}> = [];
+	#announced: ReadonlyArray<FailedRun & {readonly at: number}> = [];
 
 	constructor(parts: FailedRunsParts) {
 		this.#parts = parts;
@@ -50,24 +50,24 @@
 
 	/** Calls the listener when there is something to announce to peers soon. */
 	onAnnouncementDue(listener: () => void): void {
-		this.#events.on('news', listener);
+		this.#events.on('announcementDue', listener);
 	}
 
 	/** Adds a run of this process that a replica has ended with a failure. */
 	addOwn(item: BatchItemId, replica: ReplicaId): void {
 		this.#count += 1;
 		const run = branded<FailedRunId>(`${this.#parts.self}/${this.#startedAt}/${this.#count}`);
-		this.#take({run, item, replica});
-		this.#told = [...this.#told, {
+		this.#add({run, item, replica});
+		this.#announced = [...this.#announced, {
 			run, item, replica, at: this.#parts.clock.now(),
-		}].slice(-maxTold);
-		this.#events.emit('news');
+		}].slice(-maxAnnounced);
+		this.#events.emit('announcementDue');
 	}
 
 	/** Adds runs received from a peer or from the former holder of a job. */
 	addReceived(runs: readonly FailedRun[]): void {
 		runs.forEach(run => {
-			this.#take(run);
+			this.#add(run);
 		});
 	}
 
@@ -83,23 +83,23 @@
 
 	/** The runs to announce to peers; nothing if none has failed recently. */
 	announcement(): readonly FailedRun[] | undefined {
-		const since = this.#parts.clock.now() - tellMs;
-		this.#told = this.#told.filter(({at}) => at > since);
-		return this.#told.length > 0 ? this.#told.map(({run, item, replica}) => ({run, item, replica})) : undefined;
+		const since = this.#parts.clock.now() - announceForMs;
+		this.#announced = this.#announced.filter(({at}) => at > since);
+		return this.#announced.length > 0 ? this.#announced.map(({run, item, replica}) => ({run, item, replica})) : undefined;
 	}
 
-	#take(failed: FailedRun) {
-		const known = this.#byItem.get(failed.item);
-		if (known?.has(failed.run)) {
+	#add(failed: FailedRun) {
+		const recorded = this.#byItem.get(failed.item);
+		if (recorded?.has(failed.run)) {
 			return;
 		}
 
 		this.#byItem.delete(failed.item);
-		this.#byItem.set(failed.item, new Map([...known ?? [], [failed.run, failed]]));
-		this.#forgetOldest();
+		this.#byItem.set(failed.item, new Map([...recorded ?? [], [failed.run, failed]]));
+		this.#evictOldest();
 	}
 
-	#forgetOldest() {
+	#evictOldest() {
 		const [oldest] = this.#byItem.keys();
 		if (this.#byItem.size > maxItems && oldest !== undefined) {
 			this.#byItem.delete(oldest);
--- a/src/gateway/batch/item-run.ts
+++ b/src/gateway/batch/item-run.ts
@@ -31,7 +31,7 @@
 	readonly clock: Clock;
 	readonly dialect: CallDialect;
 	/** See `Attempt`. */
-	readonly isCurrent: () => boolean;
+	readonly isEligible: () => boolean;
 	/** Names and values, alternating. */
 	readonly headers: readonly string[];
 	/** The data of the events received so far. The run appends to them. */
@@ -42,7 +42,7 @@
 };
 
 /** An engine may be full of online calls for a second or two; a run that receives no byte for longer than `silenceMs` has lost its replica or its connection. */
-const patience: AttemptTimeouts = {silenceMs: 2500, canGoElsewhere: true};
+const timeouts: AttemptTimeouts = {silenceMs: 2500, canGoElsewhere: true};
 
 const lineEnd = /\r\n?/gv;
 
@@ -80,18 +80,18 @@
 	#head: AnswerHead | undefined;
 	/** Whether an event was received that does not follow the last one: it belongs to another run. */
 	#hasStrayEvent = false;
-	#isOver = false;
+	#hasEnded = false;
 
 	constructor(parts: ItemRunParts) {
 		const {
-			item, replica, connection, reachability: contact, clock, dialect, isCurrent, headers, events, caller,
+			item, replica, connection, reachability, clock, dialect, isEligible, headers, events, caller,
 		} = parts;
 		this.#parts = parts;
 		this.replica = replica;
 		this.#framer = new EventFramer(events.length);
 		this.#attempt = new Attempt({
 			connection,
-			reachability: contact,
+			reachability,
 			clock,
 			dialect,
 			message: {
@@ -100,8 +100,8 @@
 			fields: {
 				requestId: item.id, replica: replica.record.id, lastEventId: events.length, caller,
 			},
-			timeouts: patience,
-			isEligible: isCurrent,
+			timeouts,
+			isEligible,
 			listener: {
 				onHead: head => {
 					this.#head = head;
@@ -152,11 +152,11 @@
 	}
 
 	#onAttemptEnd(end: AttemptEnd) {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return;
 		}
 
-		this.#isOver = true;
+		this.#hasEnded = true;
 		if (end.kind === 'complete') {
 			this.#parts.onEnd(this.#endOfAnswer(), `status ${this.#head?.status ?? 0}`);
 			return;
@@ -167,14 +167,14 @@
 
 	#endOfAnswer(): ItemRunEnd {
 		if (this.#isStream) {
-			return this.#isWholeText ? 'finished' : 'broken';
+			return this.#isTextComplete ? 'finished' : 'broken';
 		}
 
 		return statusEnds[this.#head?.status ?? 0] ?? 'broken';
 	}
 
 	/** Only a content length or a terminating chunk proves that a text is complete; without either it may have been truncated anywhere. */
-	get #isWholeText(): boolean {
+	get #isTextComplete(): boolean {
 		const isInOrder = this.#framer.isInOrder && !this.#hasStrayEvent;
 		return isInOrder && !this.#framer.hasPartialEvent && this.#head?.isFramed === true;
 	}
--- a/src/gateway/batch/job-claims.steps.ts
+++ b/src/gateway/batch/job-claims.steps.ts
@@ -20,7 +20,7 @@
 	job: {isOpen: boolean};
 	now: number;
 	seq: number;
-	membersKnownAt: number | undefined;
+	membersLoadedAt: number | undefined;
 };
 
 const log: EventLog = {emit: () => undefined};
@@ -36,7 +36,7 @@
 Given('job {string} is open', function (this: ClaimsWorld, name: string) {
 	this.now = 0;
 	this.seq = 0;
-	this.membersKnownAt = 0;
+	this.membersLoadedAt = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	const directory = new ReplicaDirectory();
 	this.peers = new PeerTable({
@@ -51,7 +51,7 @@
 		job: () => job,
 	} as unknown as JobIndex;
 	this.claims = new JobClaims({
-		self, jobIndex, peers: this.peers, clock, log, isLeaving: () => false, membersFirstLoadedAt: () => this.membersKnownAt,
+		self, jobIndex, peers: this.peers, clock, log, isLeaving: () => false, membersFirstLoadedAt: () => this.membersLoadedAt,
 	});
 });
 
@@ -79,10 +79,10 @@
 });
 
 Given('process {string} did not have the addresses of its peers until now', function (this: ClaimsWorld, _name: string) {
-	this.membersKnownAt = this.now;
+	this.membersLoadedAt = this.now;
 });
 
-const tell = (world: ClaimsWorld, peer: string, jobs: BatchJobId[]) => {
+const announce = (world: ClaimsWorld, peer: string, jobs: BatchJobId[]) => {
 	world.seq += 1;
 	world.peers.receive({
 		member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: world.seq, isLeaving: true, loads: [], jobs,
@@ -90,11 +90,11 @@
 };
 
 Given('peer {string} runs {string} and is leaving', function (this: ClaimsWorld, peer: string, job: string) {
-	tell(this, peer, [jobId(job)]);
+	announce(this, peer, [jobId(job)]);
 });
 
 Given('peer {string} runs nothing and is leaving', function (this: ClaimsWorld, peer: string) {
-	tell(this, peer, []);
+	announce(this, peer, []);
 });
 
 When('the claims are reviewed', function (this: ClaimsWorld) {
--- a/src/gateway/batch/job-claims.ts
+++ b/src/gateway/batch/job-claims.ts
@@ -23,13 +23,13 @@
 };
 
 /** A process that has the addresses of its peers receives their claims within this time, in milliseconds, which is that of two of their messages. Before it has the addresses, it can have received none: the object API may answer late at its start. */
-const listenFirstMs = 600;
+const listenBeforeClaimMs = 600;
 
 /** A job that the first process of the ranking has not claimed after this long, in milliseconds, is open to the next one: the first may be cut off from the object API and lack the job. */
 const turnMs = 600;
 
 /** Claims are reviewed several times a second; a longer gap than this between two reviews, in milliseconds, means that this process was paused, and its peers seem to be unresponsive. */
-const standstillMs = 1200;
+const maxReviewGapMs = 1200;
 
 /** See the module's head. */
 export class JobClaims {
@@ -38,7 +38,7 @@
 	readonly #unclaimedSince = new Map<BatchJobId, number>();
 	#reviewedAt: number | undefined;
 	/** When this process last resumed after a pause. Claims that its peers announced meanwhile may still be unread. */
-	#wokeAt = -Infinity;
+	#resumedAt = -Infinity;
 
 	constructor(parts: ClaimsParts) {
 		this.#parts = parts;
@@ -55,9 +55,9 @@
 
 	/** Reviews all claims. To be called when jobs or peers have changed, and periodically. */
 	review(): void {
-		const {jobIndex: book, isLeaving} = this.#parts;
-		this.#noteStandstill();
-		const open = book.openJobs;
+		const {jobIndex, isLeaving} = this.#parts;
+		this.#detectPause();
+		const open = jobIndex.openJobs;
 		const openIds = new Set(open.map(({id}) => id));
 		[...this.#claimed].filter(id => !openIds.has(id)).forEach(id => {
 			this.#claimed.delete(id);
@@ -77,24 +77,24 @@
 	/** Claims a job that its former holder has handed over. */
 	accept(id: BatchJobId): void {
 		if (this.#parts.jobIndex.job(id)?.isOpen && !this.#claimed.has(id)) {
-			this.#set(id, true);
+			this.#setClaim(id, true);
 		}
 	}
 
 	/** Releases the claim on a job. */
 	release(id: BatchJobId): void {
 		if (this.#claimed.has(id)) {
-			this.#set(id, false);
+			this.#setClaim(id, false);
 		}
 	}
 
 	/** Other processes do not have a held job yet, so it is claimed regardless of the ranking. */
 	#reviewJob({id, isHeld}: BatchJob) {
-		const holders = this.#holdersElsewhere(id);
+		const holders = this.#otherHolders(id);
 		if (this.#claimed.has(id)) {
 			const staying = holders.filter(({isLeaving}) => !isLeaving).map(({member}) => member);
 			if (staying.length > 0 && rankMembers(id, [this.#parts.self, ...staying])[0] !== this.#parts.self) {
-				this.#set(id, false);
+				this.#setClaim(id, false);
 			}
 
 			return;
@@ -107,38 +107,38 @@
 		}
 
 		if (isHeld || this.#isOwnTurn(id)) {
-			this.#set(id, true);
+			this.#setClaim(id, true);
 		}
 	}
 
-	#noteStandstill() {
+	#detectPause() {
 		const now = this.#parts.clock.now();
-		if (now - (this.#reviewedAt ?? now) > standstillMs) {
-			this.#wokeAt = now;
+		if (now - (this.#reviewedAt ?? now) > maxReviewGapMs) {
+			this.#resumedAt = now;
 		}
 
 		this.#reviewedAt = now;
 	}
 
-	#holdersElsewhere(id: BatchJobId): PeerState[] {
+	#otherHolders(id: BatchJobId): PeerState[] {
 		return this.#parts.peers.live.filter(({jobs}) => jobs.has(id)).map(({state}) => state);
 	}
 
 	#isOwnTurn(id: BatchJobId): boolean {
-		const {self, peers, clock, membersFirstLoadedAt: membersKnownAt} = this.#parts;
+		const {self, peers, clock, membersFirstLoadedAt} = this.#parts;
 		const now = clock.now();
-		if (now - Math.max(membersKnownAt() ?? now, this.#wokeAt) < listenFirstMs) {
+		if (now - Math.max(membersFirstLoadedAt() ?? now, this.#resumedAt) < listenBeforeClaimMs) {
 			return false;
 		}
 
-		const since = Math.max(this.#unclaimedSince.get(id) ?? now, this.#wokeAt);
+		const since = Math.max(this.#unclaimedSince.get(id) ?? now, this.#resumedAt);
 		this.#unclaimedSince.set(id, since);
 		const members = peers.live.filter(({state}) => !state.isLeaving).map(({state}) => state.member);
 		const turns = 1 + Math.floor((now - since) / turnMs);
 		return rankMembers(id, [self, ...members]).slice(0, turns).includes(self);
 	}
 
-	#set(id: BatchJobId, isClaimed: boolean) {
+	#setClaim(id: BatchJobId, isClaimed: boolean) {
 		if (isClaimed) {
 			this.#claimed.add(id);
 		} else {
--- a/src/gateway/batch/job-handover.ts
+++ b/src/gateway/batch/job-handover.ts
@@ -42,13 +42,13 @@
 };
 
 /** A shutdown waits this long, in milliseconds, for results to be committed, and as long for the progress to be written if no peer accepts it; with both, half of the time to shut down is left for callers. */
-const writeLimitMs = 1000;
+const writeTimeoutMs = 1000;
 
 /** A peer takes a job over as soon as it has read it, some ten milliseconds; one that needs longer than this, in milliseconds, has terminated or is paused. */
-const takeOverLimitMs = 400;
+const takeOverTimeoutMs = 400;
 
 /** The number of peers that are asked, in the order of the ranking: if two in a row do not answer, more would take too long. */
-const mostAsked = 2;
+const maxAskedPeers = 2;
 
 /** See the module's head. */
 export class HandoverSender {
@@ -61,25 +61,25 @@
 	/** @param run - The runs of its items must have been cancelled. */
 	async handOver(run: JobRun): Promise<void> {
 		const {job} = run;
-		await run.writer.flush(writeLimitMs);
+		await run.writer.flush(writeTimeoutMs);
 		if (!job?.isOpen) {
 			return;
 		}
 
 		const handover: JobHandover = {job: job.id, items: run.progress(), results: run.writer.pending};
-		const successor = await this.#pass(handover);
+		const successor = await this.#sendToSuccessor(handover);
 		this.#parts.log.emit(gatewayEvents.jobHandedOver, {
 			job: job.id, to: successor, items: handover.items.length, results: handover.results.length,
 		});
 		if (successor === undefined && handover.items.length > 0) {
-			await Promise.race([this.#write(handover), this.#parts.clock.sleep(writeLimitMs)]);
+			await Promise.race([this.#writeProgress(handover), this.#parts.clock.sleep(writeTimeoutMs)]);
 		}
 	}
 
 	/** @returns The peer that has taken the job over. */
-	async #pass(handover: JobHandover): Promise<MemberName | undefined> {
+	async #sendToSuccessor(handover: JobHandover): Promise<MemberName | undefined> {
 		for (const {state} of this.#successors(handover.job)) {
-			const answered = await this.#parts.rpc.call<JobHandoverAnswer>({address: state.rpcAddress, timeoutMs: takeOverLimitMs}, takeOverMethod, handover);
+			const answered = await this.#parts.rpc.call<JobHandoverAnswer>({address: state.rpcAddress, timeoutMs: takeOverTimeoutMs}, takeOverMethod, handover);
 			if (answered.map(({isTaken}) => isTaken).orDefault(false)) {
 				return state.member;
 			}
@@ -91,10 +91,10 @@
 	#successors(job: BatchJobId): Peer[] {
 		const staying = this.#parts.peers.live.filter(({state}) => !state.isLeaving);
 		const byName = new Map(staying.map(peer => [peer.state.member as string, peer]));
-		return rankMembers(job, [...byName.keys()]).slice(0, mostAsked).map(name => byName.get(name)!);
+		return rankMembers(job, [...byName.keys()]).slice(0, maxAskedPeers).map(name => byName.get(name)!);
 	}
 
-	async #write({job, items}: JobHandover) {
+	async #writeProgress({job, items}: JobHandover) {
 		const {api, contents, self, clock} = this.#parts;
 		const content = contents.newName(job);
 		const written = await contents.write(content, {type: 'progress', items});
--- a/src/gateway/batch/job-index.ts
+++ b/src/gateway/batch/job-index.ts
@@ -30,9 +30,9 @@
 	readonly #events = new EventEmitter();
 	readonly #jobs = new Map<BatchJobId, BatchJob>();
 	/** Jobs that this process accepted and that are not in the object API yet. */
-	readonly #held = new Map<BatchJobId, JobRecord>();
+	readonly #heldJobs = new Map<BatchJobId, JobRecord>();
 	/** Jobs that ended before their record was in the object API. */
-	readonly #endedBefore = new Set<BatchJobId>();
+	readonly #endedBeforeWritten = new Set<BatchJobId>();
 	#isKnown = false;
 
 	readonly #appliers: Appliers = {
@@ -53,10 +53,10 @@
 	constructor(feed: ObjectFeed) {
 		this.#events.setMaxListeners(0);
 		feed.onSnapshot(items => {
-			this.#takeSnapshot(items);
+			this.#applySnapshot(items);
 		});
 		feed.onChanges(events => {
-			this.#takeChanges(events);
+			this.#applyChanges(events);
 		});
 	}
 
@@ -90,12 +90,12 @@
 	/**
 	Waits until a condition on a job holds.
 
-	@param isEnough - Evaluated at once and after each change of the job.
+	@param isMet - Evaluated at once and after each change of the job.
 	@returns Whether the condition held within the time limit.
 	*/
-	async waitUntil(id: BatchJobId, isEnough: () => boolean, limitMs: number): Promise<boolean> {
-		if (isEnough() || limitMs <= 0) {
-			return isEnough();
+	async waitUntil(id: BatchJobId, isMet: () => boolean, limitMs: number): Promise<boolean> {
+		if (isMet() || limitMs <= 0) {
+			return isMet();
 		}
 
 		return new Promise(resolve => {
@@ -106,7 +106,7 @@
 			};
 
 			const onChange = (jobs: ReadonlySet<BatchJobId>) => {
-				if (jobs.has(id) && isEnough()) {
+				if (jobs.has(id) && isMet()) {
 					finish(true);
 				}
 			};
@@ -121,7 +121,7 @@
 	/** Adds a job that this process has accepted and that keepers hold until its record can be written. */
 	addHeld(record: JobRecord): void {
 		if (!this.#jobs.has(record.job)) {
-			this.#held.set(record.job, record);
+			this.#heldJobs.set(record.job, record);
 			this.#addHeldJob(record);
 			this.#events.emit('change', new Set([record.job]));
 		}
@@ -129,7 +129,7 @@
 
 	/** Tokens of the jobs that this process has accepted and that keepers still hold. */
 	get heldTokens(): number {
-		return [...this.#held.values()].reduce((sum, {items}) => sum + tokensOf(items), 0);
+		return [...this.#heldJobs.values()].reduce((sum, {items}) => sum + tokensOf(items), 0);
 	}
 
 	/** Marks a job as ended at its caller's request, before the record of its end is written. */
@@ -138,21 +138,21 @@
 		this.#events.emit('change', new Set([id]));
 	}
 
-	#takeSnapshot(items: readonly StoredObject[]) {
-		const before = [...this.#jobs.keys()];
+	#applySnapshot(items: readonly StoredObject[]) {
+		const previous = [...this.#jobs.keys()];
 		this.#jobs.clear();
-		const concerned = items.toSorted(byVersion).flatMap(({name, value, version}) => this.#apply(value, {name, revision: version}));
+		const affected = items.toSorted(byVersion).flatMap(({name, value, version}) => this.#apply(value, {name, revision: version}));
 		// The snapshot does not contain held jobs.
-		this.#held.forEach(record => {
+		this.#heldJobs.forEach(record => {
 			this.#addHeldJob(record);
 		});
 		this.#isKnown = true;
-		this.#events.emit('change', new Set([...before, ...concerned]));
+		this.#events.emit('change', new Set([...previous, ...affected]));
 	}
 
-	#takeChanges(events: readonly WatchEvent[]) {
-		const concerned = events.flatMap(event => event.type === 'put' ? this.#apply(event.value, {name: event.name, revision: event.version}) : this.#remove(event.name));
-		this.#events.emit('change', new Set(concerned));
+	#applyChanges(events: readonly WatchEvent[]) {
+		const affected = events.flatMap(event => event.type === 'put' ? this.#apply(event.value, {name: event.name, revision: event.version}) : this.#remove(event.name));
+		this.#events.emit('change', new Set(affected));
 	}
 
 	#apply(value: unknown, origin: Origin): BatchJobId[] {
@@ -172,7 +172,7 @@
 		}
 
 		this.#jobs.delete(id);
-		const held = this.#held.get(id);
+		const held = this.#heldJobs.get(id);
 		if (held) {
 			this.#addHeldJob(held);
 		}
@@ -183,7 +183,7 @@
 	/** Held jobs are always admitted: they are accepted only with so much room left that the order of the records does not matter. */
 	#addHeldJob(record: JobRecord) {
 		this.#jobs.set(record.job, new BatchJob(record, heldRevision, {isAdmitted: true, isHeld: true}));
-		if (this.#endedBefore.has(record.job)) {
+		if (this.#endedBeforeWritten.has(record.job)) {
 			this.#jobs.get(record.job)?.end();
 		}
 	}
@@ -193,22 +193,22 @@
 		const job = this.#jobs.get(id);
 		job?.end();
 		if (!job || job.isHeld) {
-			this.#endedBefore.add(id);
+			this.#endedBeforeWritten.add(id);
 		}
 	}
 
 	#addJob(record: JobRecord, revision: Revision) {
 		const {route, account, maxWaitingTokens, isRoomy, items} = record;
-		const waitsElsewhere = this.waitingTokens(route, account) - (this.#held.has(record.job) ? tokensOf(items) : 0);
-		const isAdmitted = isRoomy || waitsElsewhere + tokensOf(items) <= maxWaitingTokens;
-		if (!isAdmitted && this.#held.has(record.job)) {
+		const otherWaitingTokens = this.waitingTokens(route, account) - (this.#heldJobs.has(record.job) ? tokensOf(items) : 0);
+		const isAdmitted = isRoomy || otherWaitingTokens + tokensOf(items) <= maxWaitingTokens;
+		if (!isAdmitted && this.#heldJobs.has(record.job)) {
 			// Another process found the job too large and is about to remove its record. A job that this process has accepted stays accepted, and keepers will write its record.
 			return;
 		}
 
-		this.#held.delete(record.job);
+		this.#heldJobs.delete(record.job);
 		this.#jobs.set(record.job, new BatchJob(record, revision, {isAdmitted}));
-		if (this.#endedBefore.delete(record.job)) {
+		if (this.#endedBeforeWritten.delete(record.job)) {
 			this.#jobs.get(record.job)?.end();
 		}
 	}
--- a/src/gateway/batch/job-intake.steps.ts
+++ b/src/gateway/batch/job-intake.steps.ts
@@ -41,11 +41,11 @@
 });
 
 /** Runs a write of another front just before this front's record of a job is created, once. */
-const beforeOwnRecord = (api: FakeObjectApi, slipIn: () => Promise<unknown>) => {
+const beforeOwnRecord = (api: FakeObjectApi, write: () => Promise<unknown>) => {
 	api.beforeCall = async (call, kind, name) => {
 		if (call === 'create' && kind === 'BatchRecord' && name === recordNames.job(jobId('a'))) {
 			api.beforeCall = undefined;
-			await slipIn();
+			await write();
 		}
 	};
 };
--- a/src/gateway/batch/job-intake.ts
+++ b/src/gateway/batch/job-intake.ts
@@ -47,10 +47,10 @@
 };
 
 /** The object API answers two writes within some ten milliseconds; if they take longer than this, in milliseconds, keepers are asked to hold the job meanwhile, so that it is accepted within the usual latency target of half a second. */
-const patienceMs = 150;
+const holdAfterMs = 150;
 
 /** A record is received with the next poll of the feed, a quarter of a second after the last one; after this many milliseconds it is read explicitly. */
-const feedPatienceMs = 350;
+const feedTimeoutMs = 350;
 
 /**
 With more than this share of the limit left, a job is accepted as soon as its record is written: what other processes accept within the second or two by which this one's index may lag is far less than half of the limit.
@@ -71,22 +71,22 @@
 
 	/** @returns The outcome to report to the caller. */
 	async submit(submission: JobSubmission): Promise<SubmissionOutcome> {
-		const {clock, jobIndex: book, log, metrics} = this.#parts;
+		const {clock, jobIndex, log, metrics} = this.#parts;
 		const startedAt = clock.now();
 		const outcome = await this.#submit(submission);
 		const {job, account, route, items} = submission;
 		log.emit(gatewayEvents.jobSubmitted, {
-			id: job, account, route: route.name, items: items.length, tokens: tokensOf(items), waitingTokens: book.waitingTokens(route.name, account), cap: route.batch?.maxWaitingTokens, outcome, isHeld: book.job(job)?.isHeld, elapsedMs: Math.round(clock.now() - startedAt),
+			id: job, account, route: route.name, items: items.length, tokens: tokensOf(items), waitingTokens: jobIndex.waitingTokens(route.name, account), cap: route.batch?.maxWaitingTokens, outcome, isHeld: jobIndex.job(job)?.isHeld, elapsedMs: Math.round(clock.now() - startedAt),
 		});
 		metrics.count('gateway.jobs', 1, {outcome});
 		return outcome;
 	}
 
 	async #submit(submission: JobSubmission): Promise<SubmissionOutcome> {
-		const {jobIndex: book, feed} = this.#parts;
+		const {jobIndex, feed} = this.#parts;
 		const {job} = submission;
-		if (book.job(job)?.isAdmitted) {
-			return this.#acceptedBefore(submission);
+		if (jobIndex.job(job)?.isAdmitted) {
+			return this.#outcomeOfAccepted(submission);
 		}
 
 		if (!this.#seemsToFit(submission)) {
@@ -96,11 +96,11 @@
 				return 'away';
 			}
 
-			if (book.job(job)?.isAdmitted) {
-				return this.#acceptedBefore(submission);
+			if (jobIndex.job(job)?.isAdmitted) {
+				return this.#outcomeOfAccepted(submission);
 			}
 
-			if (!book.job(job) && !this.#seemsToFit(submission)) {
+			if (!jobIndex.job(job) && !this.#seemsToFit(submission)) {
 				return 'full';
 			}
 		}
@@ -109,7 +109,7 @@
 	}
 
 	/** The outcome for a job that was accepted before: a retry, or the id of another account's job. */
-	#acceptedBefore({job, account}: Pick<JobSubmission, 'job' | 'account'>): SubmissionOutcome {
+	#outcomeOfAccepted({job, account}: Pick<JobSubmission, 'job' | 'account'>): SubmissionOutcome {
 		return this.#parts.jobIndex.job(job)?.isAccessibleTo(account) ? 'accepted' : 'foreign';
 	}
 
@@ -132,10 +132,10 @@
 
 	async #write(submission: JobSubmission): Promise<SubmissionOutcome> {
 		const {job} = submission;
-		const standing = this.#parts.jobIndex.job(job);
-		if (standing && !standing.isAdmitted) {
+		const existing = this.#parts.jobIndex.job(job);
+		if (existing && !existing.isAdmitted) {
 			// Left by a process that could not remove it after refusing the job; the job gets a new position in the order.
-			const isRemoved = await this.#takeBack(job);
+			const isRemoved = await this.#removeRecord(job);
 			if (!isRemoved) {
 				return 'uncertain';
 			}
@@ -147,43 +147,43 @@
 			return this.#writeOrHold(writing, {record, content: {type: 'items', items: submission.items}});
 		}
 
-		return this.#settle(record, await writing);
+		return this.#resolveOutcome(record, await writing);
 	}
 
 	/** A record that existed already may be another process's, which judged the job by its own index and may be about to remove the record: only the order of the records decides whether it stays. */
-	async #settle({job, account, isRoomy}: JobRecord, {outcome, hasUnansweredAttempt: mayComeLate}: JobWriteResult): Promise<SubmissionOutcome> {
+	async #resolveOutcome({job, account, isRoomy}: JobRecord, {outcome, hasUnansweredAttempt}: JobWriteResult): Promise<SubmissionOutcome> {
 		if (outcome === 'created' && isRoomy) {
 			return 'accepted';
 		}
 
-		return outcome === 'created' || outcome === 'found' ? this.#judge({job, account}, mayComeLate) : outcome;
+		return outcome === 'created' || outcome === 'found' ? this.#decideByOrder({job, account}, hasUnansweredAttempt) : outcome;
 	}
 
 	/** Processes do not see each other's held jobs: together they may hold no more than a roomy job leaves free. */
 	#mayBeHeld(submission: JobSubmission): boolean {
-		const {keeperPool: holders, jobIndex: book, processCount: sharers} = this.#parts;
+		const {keeperPool, jobIndex, processCount} = this.#parts;
 		const limit = limitOf(submission);
-		const share = limit === 0 ? Infinity : limit * (1 - roomyShare) / sharers();
-		return holders.isSufficient && book.heldTokens + tokensOf(submission.items) <= share;
+		const share = limit === 0 ? Infinity : limit * (1 - roomyShare) / processCount();
+		return keeperPool.isSufficient && jobIndex.heldTokens + tokensOf(submission.items) <= share;
 	}
 
 	/** Waits for whichever comes first: the record in the object API, or enough copies on the disks of keepers, which will write it there. */
 	async #writeOrHold(writing: Promise<JobWriteResult>, job: HeldJob): Promise<SubmissionOutcome> {
-		const {clock, keeperPool: holders, jobIndex: book, contents} = this.#parts;
-		const first = await Promise.race([writing, clock.sleep(patienceMs)]);
+		const {clock, keeperPool, jobIndex, contents} = this.#parts;
+		const first = await Promise.race([writing, clock.sleep(holdAfterMs)]);
 		if (first && first.outcome !== 'away' && first.outcome !== 'uncertain') {
-			return this.#settle(job.record, first);
+			return this.#resolveOutcome(job.record, first);
 		}
 
-		const held = await holders.hold(job);
+		const held = await keeperPool.hold(job);
 		if (held === 'held') {
 			contents.keep(job.record.content, job.content);
-			book.addHeld(job.record);
+			jobIndex.addHeld(job.record);
 			return 'accepted';
 		}
 
-		const settled = await this.#settle(job.record, await writing);
-		return held === 'partly' && isRefusal(settled) ? 'uncertain' : settled;
+		const resolved = await this.#resolveOutcome(job.record, await writing);
+		return held === 'partly' && isRefusal(resolved) ? 'uncertain' : resolved;
 	}
 
 	#recordOf(submission: JobSubmission): JobRecord {
@@ -209,30 +209,30 @@
 	/**
 	Decides by the records that precede this one in the order of versions.
 
-	@param mayComeLate - Whether an attempt to write it went unanswered. If it took effect after the record was removed, it would find room and run a job that its caller was told will never run.
+	@param hasUnansweredAttempt - Whether an attempt to write it went unanswered. If it took effect after the record was removed, it would find room and run a job that its caller was told will never run.
 	*/
-	async #judge({job, account}: Pick<JobRecord, 'job' | 'account'>, mayComeLate: boolean): Promise<SubmissionOutcome> {
-		const {jobIndex: book, feed} = this.#parts;
-		const isThere = () => book.job(job) !== undefined;
-		await book.waitUntil(job, isThere, feedPatienceMs);
-		await feed.ensureLoaded(isThere);
-		const entry = book.job(job);
+	async #decideByOrder({job, account}: Pick<JobRecord, 'job' | 'account'>, hasUnansweredAttempt: boolean): Promise<SubmissionOutcome> {
+		const {jobIndex, feed} = this.#parts;
+		const isReceived = () => jobIndex.job(job) !== undefined;
+		await jobIndex.waitUntil(job, isReceived, feedTimeoutMs);
+		await feed.ensureLoaded(isReceived);
+		const entry = jobIndex.job(job);
 		if (!entry) {
 			return 'uncertain';
 		}
 
 		if (entry.isAdmitted) {
-			return this.#acceptedBefore({job, account});
+			return this.#outcomeOfAccepted({job, account});
 		}
 
-		const isGone = await this.#takeBack(job);
-		return isGone && !mayComeLate ? 'full' : 'uncertain';
+		const isGone = await this.#removeRecord(job);
+		return isGone && !hasUnansweredAttempt ? 'full' : 'uncertain';
 	}
 
 	/** @returns Whether the record certainly does not exist any more. */
-	async #takeBack(job: BatchJobId): Promise<boolean> {
-		const {api, jobIndex: book} = this.#parts;
-		const removed = await api.remove('BatchRecord', recordNames.job(job), book.job(job)?.revision);
+	async #removeRecord(job: BatchJobId): Promise<boolean> {
+		const {api, jobIndex} = this.#parts;
+		const removed = await api.remove('BatchRecord', recordNames.job(job), jobIndex.job(job)?.revision);
 		return removed.isRight() || errorOf(removed)?.kind === 'notFound';
 	}
 }
--- a/src/gateway/batch/job-reader.ts
+++ b/src/gateway/batch/job-reader.ts
@@ -47,12 +47,12 @@
 const maxPageBytes = 900_000;
 
 /** If the object API has not answered for this long, in milliseconds, another process may have returned results that are not cached here. */
-const trustedMs = 2500;
+const maxCacheAgeMs = 2500;
 
 /** A record of a job's end that could not be written is retried for this long, in milliseconds, even though the caller was told that the end is uncertain. */
-const endLimitMs = 20_000;
+const endWriteTimeoutMs = 20_000;
 
-const endRetryMs = 300;
+const endRetryDelayMs = 300;
 
 /** See the module's head. */
 export class JobReader {
@@ -69,16 +69,16 @@
 			return found;
 		}
 
-		const {jobIndex: book, feed} = this.#parts;
-		const current = () => book.job(job);
+		const {jobIndex, feed} = this.#parts;
+		const current = () => jobIndex.job(job);
 		if (after > found.results.length && !(await feed.ensureLoaded(() => (current()?.results.length ?? 0) >= after))) {
 			// Another process has returned results up to that position to the caller.
 			return 'unsure';
 		}
 
 		const isAnswerable = () => (current()?.results.length ?? 0) > after || current()?.isOpen !== true;
-		await book.waitUntil(job, isAnswerable, waitMs);
-		if (!isAnswerable() && !(await this.#isTrusted())) {
+		await jobIndex.waitUntil(job, isAnswerable, waitMs);
+		if (!isAnswerable() && !(await this.#isCacheFresh())) {
 			return 'unsure';
 		}
 
@@ -115,9 +115,9 @@
 	/** Reads the contents of as many results as an answer may hold; the answer ends before the first one that cannot be read. */
 	async #page({results, record}: BatchJob, after: number): Promise<ResultsPage | JobReadError> {
 		const page: ItemResult[] = [];
-		const listed = results.slice(after);
+		const available = results.slice(after);
 		let bytes = 0;
-		for (const {id, content} of listed) {
+		for (const {id, content} of available) {
 			const read = await this.#parts.contents.read('results', content);
 			const result = read.toMaybe().extract()?.results.find(candidate => candidate.id === id);
 			bytes += result?.output.length ?? 0;
@@ -128,7 +128,7 @@
 			page.push(result);
 		}
 
-		return listed.length > 0 && page.length === 0
+		return available.length > 0 && page.length === 0
 			? 'unsure'
 			: {total: record.items.length, next: Math.min(after, results.length) + page.length, results: page};
 	}
@@ -140,7 +140,7 @@
 			return 'ended';
 		}
 
-		void this.#keepWritingEnd(job);
+		void this.#retryWritingEnd(job);
 		return 'unsure';
 	}
 
@@ -150,12 +150,12 @@
 		return created.isRight() || errorOf(created)?.kind === 'conflict';
 	}
 
-	async #keepWritingEnd(job: BatchJobId): Promise<void> {
+	async #retryWritingEnd(job: BatchJobId): Promise<void> {
 		const {clock} = this.#parts;
 		const startedAt = clock.now();
 		let isWritten = false;
-		while (!isWritten && clock.now() - startedAt < endLimitMs) {
-			await clock.sleep(endRetryMs);
+		while (!isWritten && clock.now() - startedAt < endWriteTimeoutMs) {
+			await clock.sleep(endRetryDelayMs);
 			isWritten = await this.#writeEnd(job);
 		}
 
@@ -168,10 +168,10 @@
 	}
 
 	async #findAny(id: BatchJobId): Promise<BatchJob | JobReadError> {
-		const {api, jobIndex: book, feed} = this.#parts;
-		const known = admitted(book.job(id));
-		if (known) {
-			return known;
+		const {api, jobIndex, feed} = this.#parts;
+		const indexed = admitted(jobIndex.job(id));
+		if (indexed) {
+			return indexed;
 		}
 
 		const read = await api.get('BatchRecord', recordNames.job(id));
@@ -179,13 +179,13 @@
 			return errorOf(read)?.kind === 'notFound' ? 'unknown' : 'unsure';
 		}
 
-		await feed.ensureLoaded(() => book.job(id) !== undefined);
-		return admitted(book.job(id)) ?? (book.job(id) ? 'unknown' : 'unsure');
+		await feed.ensureLoaded(() => jobIndex.job(id) !== undefined);
+		return admitted(jobIndex.job(id)) ?? (jobIndex.job(id) ? 'unknown' : 'unsure');
 	}
 
-	async #isTrusted(): Promise<boolean> {
+	async #isCacheFresh(): Promise<boolean> {
 		const {feed, clock} = this.#parts;
-		return clock.now() - feed.currentAsOf < trustedMs || feed.sync();
+		return clock.now() - feed.currentAsOf < maxCacheAgeMs || feed.sync();
 	}
 }
 
--- a/src/gateway/batch/job-route-policy.ts
+++ b/src/gateway/batch/job-route-policy.ts
@@ -7,16 +7,16 @@
 import type {BatchJob} from './batch-job.js';
 
 /** A route that is missing from the configuration for this long, in milliseconds, counts as removed; its items will not be run. */
-const routeGoneMs = 3000;
+const routeRemovalMs = 3000;
 
 /** The wall clocks of two processes may differ by this much, in milliseconds; an item is given up only once its time is over on every clock. */
-const clockSlackMs = 5000;
+const maxClockSkewMs = 5000;
 
 /** See the module's head. */
 export class JobRoutePolicy {
 	readonly #board: ConfigBoard;
 	readonly #clock: Clock;
-	readonly #routeGoneSince = new Map<BatchJobId, number>();
+	readonly #routeMissingSince = new Map<BatchJobId, number>();
 
 	constructor(board: ConfigBoard, clock: Clock) {
 		this.#board = board;
@@ -29,7 +29,7 @@
 		const named = routes.named(record.route);
 		const route = named && routes.match(record.host, record.target) === named ? named : undefined;
 		if (route) {
-			this.#routeGoneSince.delete(id);
+			this.#routeMissingSince.delete(id);
 		}
 
 		return route;
@@ -41,14 +41,14 @@
 			return false;
 		}
 
-		const since = this.#routeGoneSince.get(id) ?? this.#clock.now();
-		this.#routeGoneSince.set(id, since);
-		return this.#clock.now() - since > routeGoneMs;
+		const since = this.#routeMissingSince.get(id) ?? this.#clock.now();
+		this.#routeMissingSince.set(id, since);
+		return this.#clock.now() - since > routeRemovalMs;
 	}
 
 	/** Whether items of the job are to be given up. */
 	isExpired({record}: BatchJob, {batch}: GatewayRoute): boolean {
-		return this.#clock.wall() > record.submittedAt + (batch?.giveUpMs ?? Infinity) + clockSlackMs;
+		return this.#clock.wall() > record.submittedAt + (batch?.giveUpMs ?? Infinity) + maxClockSkewMs;
 	}
 
 	/** When the job's results are due, in milliseconds of the wall clock. */
@@ -58,6 +58,6 @@
 
 	/** Discards the state of a job that is no longer run here. */
 	forget(id: BatchJobId): void {
-		this.#routeGoneSince.delete(id);
+		this.#routeMissingSince.delete(id);
 	}
 }
--- a/src/gateway/batch/job-run.steps.ts
+++ b/src/gateway/batch/job-run.steps.ts
@@ -22,7 +22,7 @@
 	items: BatchItem[];
 	run: JobRun;
 	failedRuns: FailedRuns;
-	cuts: number;
+	cancelCount: number;
 	results: Map<BatchItemId, ItemResult>;
 	/** The states of items that were made to run here. */
 	states: Map<string, ItemState>;
@@ -63,7 +63,7 @@
 	this.items = names.split(', ').map(name => ({
 		id: itemId(name), path: '/', headers: [], body: '', tokens: 1,
 	}));
-	this.cuts = 0;
+	this.cancelCount = 0;
 	begin(this);
 	await this.run.load();
 });
@@ -90,7 +90,7 @@
 	state.events.push(...eventsOf(events));
 	state.run = {
 		dispose: () => {
-			this.cuts += 1;
+			this.cancelCount += 1;
 			this.run.noteEnd(state, 'cut', {replica: branded<ReplicaId>('r1'), route});
 		},
 	} as unknown as ItemRun;
@@ -123,7 +123,7 @@
 });
 
 Then('its run has been cancelled', function (this: JobRunWorld) {
-	assert.equal(this.cuts, 1);
+	assert.equal(this.cancelCount, 1);
 });
 
 Then('item {string} waits with {int} events', function (this: JobRunWorld, name: string, events: number) {
@@ -137,7 +137,7 @@
 Then('item {string} runs with {int} events', function (this: JobRunWorld, name: string, events: number) {
 	const running = this.run.running.find(({item}) => item.id === itemId(name));
 	assert.deepEqual(running?.events, eventsOf(events));
-	assert.equal(this.cuts, 0);
+	assert.equal(this.cancelCount, 0);
 });
 
 Then('item {string} waits and has failed at {string}', function (this: JobRunWorld, name: string, replica: string) {
--- a/src/gateway/batch/job-run.ts
+++ b/src/gateway/batch/job-run.ts
@@ -32,7 +32,7 @@
 };
 
 /** After a run that did not succeed, milliseconds until the next one: a replica that fails at once must not be retried without a delay. */
-const pauseMs: Readonly<Partial<Record<ItemRunEnd, number>>> = {
+const retryDelaysMs: Readonly<Partial<Record<ItemRunEnd, number>>> = {
 	failed: 200, declined: 150, unreachable: 100, misdirected: 100, lost: 50, broken: 50,
 };
 
@@ -51,7 +51,7 @@
 export class JobRun implements Disposable {
 	readonly #parts: JobRunParts;
 	readonly #states = new Map<BatchItemId, ItemState>();
-	#received: JobHandover[] = [];
+	#receivedHandovers: JobHandover[] = [];
 	#loading: Promise<void> | undefined;
 
 	constructor(parts: JobRunParts) {
@@ -82,9 +82,9 @@
 
 	/** Merges what the former holder of the job has handed over. */
 	receive(handover: JobHandover): void {
-		this.#received.push(handover);
+		this.#receivedHandovers.push(handover);
 		if (this.#states.size > 0) {
-			this.#takeReceived();
+			this.#mergeReceived();
 		}
 	}
 
@@ -113,7 +113,7 @@
 	noteEnd(state: ItemState, end: ItemRunEnd, {replica, route}: {replica: ReplicaId; route: Pick<GatewayRoute, 'maxRuns'>}): void {
 		state.run = undefined;
 		state.lastEnd = end;
-		state.notBefore = this.#parts.clock.now() + (pauseMs[end] ?? 0);
+		state.notBefore = this.#parts.clock.now() + (retryDelaysMs[end] ?? 0);
 		if (this.writer.has(state.item.id)) {
 			// The former holder of the job has handed over the result.
 			return;
@@ -162,13 +162,13 @@
 		});
 	}
 
-	#takeReceived() {
-		const received = this.#received;
-		this.#received = [];
-		received.flatMap(({items}) => items).forEach(left => {
-			const state = this.#states.get(left.id);
+	#mergeReceived() {
+		const received = this.#receivedHandovers;
+		this.#receivedHandovers = [];
+		received.flatMap(({items}) => items).forEach(handedOver => {
+			const state = this.#states.get(handedOver.id);
 			if (state) {
-				this.#takeProgress(state, left);
+				this.#mergeProgress(state, handedOver);
 			}
 		});
 		received.flatMap(({results}) => results).filter(({id}) => this.job && this.#isUnfinished(this.job, id)).forEach(result => {
@@ -180,7 +180,7 @@
 	/**
 	Continues from the longer text, and from all of it: the two come from different runs, which need not agree in any event. If the item already runs here, from an earlier event, the run is cancelled: it would generate again what has been received, and what was handed over would be dropped while the item is late.
 	*/
-	#takeProgress(state: ItemState, {events, failedRuns}: ItemProgress) {
+	#mergeProgress(state: ItemState, {events, failedRuns}: ItemProgress) {
 		const isLonger = state.events.length < events.length;
 		this.#parts.log.emit(gatewayEvents.itemTextReceived, {
 			job: this.job?.id, item: state.item.id, ownEvents: state.events.length, handedOverEvents: events.length, isRunning: state.run !== undefined, from: isLonger ? 'handover' : 'own',
@@ -216,22 +216,22 @@
 			contents.read('items', job.record.content),
 			...job.handoverContents.map(async name => contents.read('progress', name)),
 		]);
-		const left = handovers.flatMap(handover => handover.toMaybe().extract()?.items ?? []);
-		left.forEach(progress => {
+		const handedOver = handovers.flatMap(handover => handover.toMaybe().extract()?.items ?? []);
+		handedOver.forEach(progress => {
 			failedRuns.addReceived(progress.failedRuns);
 		});
 		items.ifRight(content => {
 			content.items.forEach(item => {
-				this.#states.set(item.id, stateOf(item, left.filter(({id}) => id === item.id)));
+				this.#states.set(item.id, stateOf(item, handedOver.filter(({id}) => id === item.id)));
 			});
-			this.#takeReceived();
+			this.#mergeReceived();
 		});
 	}
 }
 
 /** Starts from the longest text alone; texts of different runs are never combined. */
-const stateOf = (item: BatchItem, left: readonly ItemProgress[]): ItemState => {
-	const longest = left.toSorted((a, b) => b.events.length - a.events.length)[0];
+const stateOf = (item: BatchItem, handedOver: readonly ItemProgress[]): ItemState => {
+	const longest = handedOver.toSorted((a, b) => b.events.length - a.events.length)[0];
 	return {
 		item,
 		events: [...longest?.events ?? []],
--- a/src/gateway/batch/job-runs.ts
+++ b/src/gateway/batch/job-runs.ts
@@ -22,22 +22,22 @@
 };
 
 /** The maximum number of handovers of jobs that are not in the index yet, because changes in the object API are received late; a process runs some dozen jobs. */
-const maxReceived = 200;
+const maxReceivedHandovers = 200;
 
 /** See the module's head. */
 export class JobRuns implements Disposable {
 	readonly #parts: JobRunsParts;
-	readonly #terms: JobRoutePolicy;
-	readonly #leaver: HandoverSender;
+	readonly #routePolicy: JobRoutePolicy;
+	readonly #handoverSender: HandoverSender;
 	readonly #runs = new Map<BatchJobId, JobRun>();
 	/** Handovers by former holders, of jobs that this process does not run yet. */
-	readonly #received = new Map<BatchJobId, JobHandover[]>();
+	readonly #receivedHandovers = new Map<BatchJobId, JobHandover[]>();
 	#isLeaving = false;
 
-	constructor(parts: JobRunsParts, terms: JobRoutePolicy) {
+	constructor(parts: JobRunsParts, routePolicy: JobRoutePolicy) {
 		this.#parts = parts;
-		this.#terms = terms;
-		this.#leaver = new HandoverSender(parts);
+		this.#routePolicy = routePolicy;
+		this.#handoverSender = new HandoverSender(parts);
 	}
 
 	get all(): readonly JobRun[] {
@@ -59,7 +59,7 @@
 			this.#open(id);
 		});
 		this.#runs.forEach((run, id) => {
-			this.#passReceived(run, id);
+			this.#deliverReceived(run, id);
 			void run.load().then(onLoaded);
 		});
 	}
@@ -71,7 +71,7 @@
 			run.cancelRuns();
 		});
 		await Promise.all([...this.#runs].map(async ([id, run]) => {
-			await this.#leaver.handOver(run);
+			await this.#handoverSender.handOver(run);
 			this.#parts.claims.release(id);
 			this.#close(id);
 		}));
@@ -87,10 +87,10 @@
 			return false;
 		}
 
-		this.#received.set(handover.job, [...this.#received.get(handover.job) ?? [], handover]);
-		if (this.#received.size > maxReceived) {
-			const [oldest] = this.#received.keys();
-			this.#received.delete(oldest!);
+		this.#receivedHandovers.set(handover.job, [...this.#receivedHandovers.get(handover.job) ?? [], handover]);
+		if (this.#receivedHandovers.size > maxReceivedHandovers) {
+			const [oldest] = this.#receivedHandovers.keys();
+			this.#receivedHandovers.delete(oldest!);
 		}
 
 		this.#parts.claims.accept(handover.job);
@@ -106,10 +106,10 @@
 
 	#open(id: BatchJobId) {
 		const {
-			jobIndex: book, contents, failedRuns, clock, log,
+			jobIndex, contents, failedRuns, clock, log,
 		} = this.#parts;
-		const job = () => book.job(id);
-		const writer = new ResultWriter(this.#parts, job, accepted => this.#terms.dueAt(accepted));
+		const job = () => jobIndex.job(id);
+		const writer = new ResultWriter(this.#parts, job, accepted => this.#routePolicy.dueAt(accepted));
 		this.#runs.set(id, new JobRun({
 			job, writer, contents, failedRuns, clock, log,
 		}));
@@ -118,13 +118,13 @@
 	#close(id: BatchJobId) {
 		this.#runs.get(id)?.dispose();
 		this.#runs.delete(id);
-		this.#terms.forget(id);
+		this.#routePolicy.forget(id);
 	}
 
-	#passReceived(run: JobRun, id: BatchJobId) {
-		this.#received.get(id)?.forEach(handover => {
+	#deliverReceived(run: JobRun, id: BatchJobId) {
+		this.#receivedHandovers.get(id)?.forEach(handover => {
 			run.receive(handover);
 		});
-		this.#received.delete(id);
+		this.#receivedHandovers.delete(id);
 	}
 }
--- a/src/gateway/batch/job-writer.ts
+++ b/src/gateway/batch/job-writer.ts
@@ -28,13 +28,13 @@
 };
 
 /** A write is retried for this long, in milliseconds: callers wait a few seconds, and must have time left to try elsewhere. */
-const writeLimitMs = 1500;
+const writeTimeoutMs = 1500;
 
 /** As long as no attempt can have taken effect, a refusal is certain and may be reported after this shorter time, in milliseconds. */
-const certainLimitMs = writeLimitMs / 3;
+const certainTimeoutMs = writeTimeoutMs / 3;
 
 /** The delay between two attempts, in milliseconds. */
-const retryMs = 100;
+const retryDelayMs = 100;
 
 const isFinal = ({kind}: ApiError): boolean => kind === 'conflict' || kind === 'tooLarge';
 
@@ -49,26 +49,26 @@
 	/** Writes the content before the record that names it; without the record the content has no effect. */
 	async write(record: JobRecord, items: readonly BatchItem[]): Promise<JobWriteResult> {
 		const {api, contents} = this.#parts;
-		const content = await this.#tryFor(async () => contents.write(record.content, {type: 'items', items}));
+		const content = await this.#retry(async () => contents.write(record.content, {type: 'items', items}));
 		if (content.outcome !== 'created') {
 			return {outcome: content.outcome === 'tooLarge' ? 'tooLarge' : 'away', hasUnansweredAttempt: false};
 		}
 
-		return this.#tryFor(async () => api.create('BatchRecord', recordNames.job(record.job), record));
+		return this.#retry(async () => api.create('BatchRecord', recordNames.job(record.job), record));
 	}
 
-	async #tryFor(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWriteResult> {
+	async #retry(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWriteResult> {
 		const {clock} = this.#parts;
 		const startedAt = clock.now();
 		let hasUnansweredAttempt = false;
-		while (clock.now() - startedAt < (hasUnansweredAttempt ? writeLimitMs : certainLimitMs)) {
+		while (clock.now() - startedAt < (hasUnansweredAttempt ? writeTimeoutMs : certainTimeoutMs)) {
 			const err = errorOf(await write());
 			if (!err || isFinal(err)) {
 				return {outcome: finalOutcome(err), hasUnansweredAttempt};
 			}
 
 			hasUnansweredAttempt ||= err.kind === 'unknown';
-			await clock.sleep(retryMs);
+			await clock.sleep(retryDelayMs);
 		}
 
 		return {outcome: hasUnansweredAttempt ? 'uncertain' : 'away', hasUnansweredAttempt};
--- a/src/gateway/batch/result-writer.steps.ts
+++ b/src/gateway/batch/result-writer.steps.ts
@@ -17,7 +17,7 @@
 import {ResultWriter} from './result-writer.js';
 
 /** A clock that records the length of each sleep and ends all sleeps on request. */
-class PlayedClock implements Clock {
+class ManualClock implements Clock {
 	readonly slept: number[] = [];
 	readonly #system = new SystemClock();
 	#wakers: Array<() => void> = [];
@@ -47,7 +47,7 @@
 
 type WriterWorld = TestWorld & {
 	api: FakeObjectApi;
-	clock: PlayedClock;
+	clock: ManualClock;
 	writer: ResultWriter;
 	flushed: Promise<void>;
 };
@@ -60,7 +60,7 @@
 
 Given('a job of {int} items that is due in {int} ms', async function (this: WriterWorld, items: number, dueMs: number) {
 	this.api = new FakeObjectApi();
-	this.clock = new PlayedClock();
+	this.clock = new ManualClock();
 	const record: JobRecord = {
 		type: 'job', job, route: 'notes', host: 'h', target: '/', submittedAt: 0, maxWaitingTokens: 0, isRoomy: true, items: Array.from({length: items}, (_, item) => ({id: itemId(item), tokens: 1})), content: 'items',
 	};
--- a/src/gateway/batch/result-writer.ts
+++ b/src/gateway/batch/result-writer.ts
@@ -27,17 +27,17 @@
 Results are gathered for this share of the time that is left until they are due, within these bounds in milliseconds. Each page costs two calls of the object API, and the items of a job end within a second or two of each other; readers poll about twice a second, and nobody waits for a result that comes well before its due time.
 */
 const gatherShare = 0.1;
-const leastGatherMs = 200;
-const mostGatherMs = 800;
+const minGatherMs = 200;
+const maxGatherMs = 800;
 
 /** The delay after a page that could not be written, in milliseconds. */
-const retryMs = 200;
+const retryDelayMs = 200;
 
 /** The maximum size of a page, in bytes of output; it holds one result at least. The object API's limit is a megabyte including all names and escapes. */
 const maxPageBytes = 600_000;
 
 /** A page that was written is received with the feed within this time, in milliseconds; after it the page is read explicitly. */
-const feedPatienceMs = 400;
+const feedTimeoutMs = 400;
 
 /** See the module's head. */
 export class ResultWriter implements Disposable {
@@ -46,10 +46,10 @@
 	readonly #dueAt: (job: BatchJob) => number;
 	readonly #pending = new Map<BatchItemId, ItemResult>();
 	#writing: Promise<void> | undefined;
-	#written: {readonly key: string; readonly name: string} | undefined;
+	#lastContent: {readonly key: string; readonly name: string} | undefined;
 	#endGathering: (() => void) | undefined;
 	#isDisposed = false;
-	#isHurried = false;
+	#isFlushing = false;
 
 	/**
 	@param job - Returns the current state of the job in the index.
@@ -74,7 +74,7 @@
 	/** Adds a result, which will be written soon. */
 	add(result: ItemResult): void {
 		this.#pending.set(result.id, result);
-		if (this.#isLast()) {
+		if (this.#isGatheringOver()) {
 			this.#endGathering?.();
 		}
 
@@ -83,7 +83,7 @@
 
 	/** Writes the pending results without gathering more. Resolves when all are written, or after the time limit. */
 	async flush(limitMs: number): Promise<void> {
-		this.#isHurried = true;
+		this.#isFlushing = true;
 		this.#endGathering?.();
 		await Promise.race([this.#writing, this.#parts.clock.sleep(limitMs)]);
 	}
@@ -95,14 +95,14 @@
 
 	async #writeAll() {
 		const {clock} = this.#parts;
-		if (!this.#isLast()) {
+		if (!this.#isGatheringOver()) {
 			await this.#gather();
 		}
 
-		while (!this.#isDisposed && this.#dropListed()) {
+		while (!this.#isDisposed && this.#removeCommitted()) {
 			const isWritten = await this.#writePage();
 			if (!isWritten && !this.#isDisposed) {
-				await clock.sleep(retryMs);
+				await clock.sleep(retryDelayMs);
 			}
 		}
 
@@ -111,27 +111,27 @@
 
 	/** Waits for more results. Ends early if no further result will come. */
 	async #gather() {
-		const isLast = new Promise<void>(resolve => {
+		const gatheringOver = new Promise<void>(resolve => {
 			this.#endGathering = resolve;
 		});
-		await Promise.race([isLast, this.#parts.clock.sleep(this.#gatherMs())]);
+		await Promise.race([gatheringOver, this.#parts.clock.sleep(this.#gatherMs())]);
 		this.#endGathering = undefined;
 	}
 
 	#gatherMs(): number {
 		const job = this.#job();
-		const leftMs = job ? this.#dueAt(job) - this.#parts.clock.wall() : 0;
-		return Math.min(mostGatherMs, Math.max(leastGatherMs, leftMs * gatherShare));
+		const remainingMs = job ? this.#dueAt(job) - this.#parts.clock.wall() : 0;
+		return Math.min(maxGatherMs, Math.max(minGatherMs, remainingMs * gatherShare));
 	}
 
 	/** Whether nothing is gained by gathering, since no further result will come or the process shuts down. */
-	#isLast(): boolean {
+	#isGatheringOver(): boolean {
 		const job = this.#job();
-		return this.#isHurried || (job !== undefined && job.results.length + this.#pending.size >= job.record.items.length);
+		return this.#isFlushing || (job !== undefined && job.results.length + this.#pending.size >= job.record.items.length);
 	}
 
 	/** @returns Whether anything is left to write. */
-	#dropListed(): boolean {
+	#removeCommitted(): boolean {
 		const job = this.#job();
 		if (!job?.isOpen) {
 			this.#pending.clear();
@@ -145,7 +145,7 @@
 	}
 
 	async #writePage(): Promise<boolean> {
-		const {api, feed, jobIndex: book, log} = this.#parts;
+		const {api, feed, jobIndex, log} = this.#parts;
 		const job = this.#job();
 		if (!job) {
 			return true;
@@ -174,17 +174,17 @@
 			return false;
 		}
 
-		const isBack = () => (this.#job()?.pageCount ?? Infinity) > page.number;
-		await book.waitUntil(job.id, isBack, feedPatienceMs);
-		return feed.ensureLoaded(isBack);
+		const isReceived = () => (this.#job()?.pageCount ?? Infinity) > page.number;
+		await jobIndex.waitUntil(job.id, isReceived, feedTimeoutMs);
+		return feed.ensureLoaded(isReceived);
 	}
 
 	/** @returns The name of the content, or nothing if it could not be written. Results that were written before are not written again. */
 	async #writeContent(job: BatchJobId, results: readonly ItemResult[]): Promise<string | undefined> {
 		const {contents} = this.#parts;
 		const key = results.map(({id}) => id).join(' ');
-		if (this.#written?.key === key) {
-			return this.#written.name;
+		if (this.#lastContent?.key === key) {
+			return this.#lastContent.name;
 		}
 
 		const name = contents.newName(job);
@@ -193,7 +193,7 @@
 			return undefined;
 		}
 
-		this.#written = {key, name};
+		this.#lastContent = {key, name};
 		return name;
 	}
 
--- a/src/gateway/batch/slot-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -37,7 +37,7 @@
 	return directory.get(branded<ReplicaId>(id))!;
 };
 
-const tell = ({peers}: FinderWorld, member: string, waiting: readonly SharedWaiting[] | undefined) => {
+const announce = ({peers}: FinderWorld, member: string, waiting: readonly SharedWaiting[] | undefined) => {
 	peers.receive({
 		member: branded<MemberName>(member), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [], waiting,
 	});
@@ -58,43 +58,43 @@
 });
 
 Given('peer {string} announces {int} timely and {int} late items', function (this: FinderWorld, member: string, timely: number, late: number) {
-	tell(this, member, [{route: route.name, timely, late}]);
+	announce(this, member, [{route: route.name, timely, late}]);
 });
 
 Given('peer {string} announces {int} timely and {int} late items of another route', function (this: FinderWorld, member: string, timely: number, late: number) {
-	tell(this, member, [{route: 'digests', timely, late}]);
+	announce(this, member, [{route: 'digests', timely, late}]);
 });
 
 Given('peer {string} announces nothing of its items', function (this: FinderWorld, member: string) {
-	tell(this, member, undefined);
+	announce(this, member, undefined);
 });
 
-const lookMs = 250;
+const checkIntervalMs = 250;
 
 Given('it has been unresponsive for {int} seconds', function (this: FinderWorld, seconds: number) {
 	// A front checks for unresponsive peers several times a second; a longer time without a check counts as a pause of the front itself.
-	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += lookMs) {
-		this.now += lookMs;
+	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += checkIntervalMs) {
+		this.now += checkIntervalMs;
 		this.peers.removeUnresponsive();
 	}
 });
 
-const look = (world: FinderWorld, {items, dueInMs, times}: {items: number; dueInMs: number; times: number}) => {
-	const seeker: SlotRequest = {
+const requestSlots = (world: FinderWorld, {items, dueInMs, times}: {items: number; dueInMs: number; times: number}) => {
+	const request: SlotRequest = {
 		route, dueAt: world.now + dueInMs, events: 0, failedReplicas: new Set(), needsNewConnection: false,
 	};
-	const own = countWaiting(Array.from({length: items}, () => seeker), initialRunEstimate, world.now);
-	world.taken = Array.from({length: times}, () => world.finder.allowance(seeker, own, initialRunEstimate)).reduce((sum, places) => sum + places, 0) / times;
+	const own = countWaiting(Array.from({length: items}, () => request), initialRunEstimate, world.now);
+	world.taken = Array.from({length: times}, () => world.finder.allowance(request, own, initialRunEstimate)).reduce((sum, slots) => sum + slots, 0) / times;
 };
 
 When('{int} late items request slots {int} times', function (this: FinderWorld, items: number, times: number) {
-	look(this, {items, dueInMs: -1000, times});
+	requestSlots(this, {items, dueInMs: -1000, times});
 });
 
 When('{int} items that are due in {int} seconds request slots {int} times', function (this: FinderWorld, items: number, seconds: number, times: number) {
-	look(this, {items, dueInMs: 1000 * seconds, times});
+	requestSlots(this, {items, dueInMs: 1000 * seconds, times});
 });
 
-Then('they may take {float} slots at a time on average', function (this: FinderWorld, places: number) {
-	assert.ok(Math.abs(this.taken - places) <= 0.1, String(this.taken));
+Then('they may take {float} slots at a time on average', function (this: FinderWorld, slots: number) {
+	assert.ok(Math.abs(this.taken - slots) <= 0.1, String(this.taken));
 });
--- a/src/gateway/batch/slot-finder.ts
+++ b/src/gateway/batch/slot-finder.ts
@@ -59,34 +59,34 @@
 	@param first - The most urgent item; it decides how many slots stay free.
 	@param own - How many items of the route wait at this process.
 	*/
-	allowance(first: SlotRequest, own: WaitingCounts, length: RunEstimate): number {
-		const reserve = this.#reserveFor(first, length);
+	allowance(first: SlotRequest, own: WaitingCounts, estimate: RunEstimate): number {
+		const reserve = this.#reserveFor(first, estimate);
 		const free = this.#replicasOf(first.route)
 			.map(({total, record}) => Math.max(0, record.slots - reserve - total))
-			.reduce((sum, places) => sum + places, 0);
-		return slotAllowance(free, {own, all: this.#waitingOfAll(first.route, own)}, this.#parts.random.next());
+			.reduce((sum, slots) => sum + slots, 0);
+		return slotAllowance(free, {own, all: this.#totalWaiting(first.route, own)}, this.#parts.random.next());
 	}
 
 	/** @returns Nothing if no replica has a slot to spare, or no connection is left to the one that has. */
-	findSlot(item: SlotRequest, length: RunEstimate): FoundSlot | undefined {
-		const {clock, random, failureDomain, connectionPools: links} = this.#parts;
+	findSlot(item: SlotRequest, estimate: RunEstimate): FoundSlot | undefined {
+		const {clock, random, failureDomain, connectionPools} = this.#parts;
 		const replicas = this.#replicasOf(item.route);
 		const tried = replicas.every(({record}) => item.failedReplicas.has(record.id)) ? noneTried : item.failedReplicas;
-		const replica = chooseForBatch(replicas, this.#reserveFor(item, length), {
+		const replica = chooseForBatch(replicas, this.#reserveFor(item, estimate), {
 			now: clock.now(), random, failureDomain, tried, processCount: this.processCount, canFailOver: true,
 		});
-		const connection = replica && links.acquire(replica, item.needsNewConnection);
+		const connection = replica && connectionPools.acquire(replica, item.needsNewConnection);
 		return replica && connection && {replica, connection};
 	}
 
-	#waitingOfAll({name}: GatewayRoute, own: WaitingCounts): WaitingCounts {
+	#totalWaiting({name}: GatewayRoute, own: WaitingCounts): WaitingCounts {
 		return this.#parts.peers.live
 			.flatMap(({state}) => state.waiting?.filter(({route}) => route === name) ?? [])
 			.reduce((sum, {timely, late}) => ({timely: sum.timely + timely, late: sum.late + late}), own);
 	}
 
-	#reserveFor(item: SlotRequest, length: RunEstimate): number {
-		return reservedSlots(slackMs(item, length, this.#parts.clock.wall()));
+	#reserveFor(item: SlotRequest, estimate: RunEstimate): number {
+		return reservedSlots(slackMs(item, estimate, this.#parts.clock.wall()));
 	}
 
 	#replicasOf({targets}: GatewayRoute): readonly Replica[] {
--- a/src/gateway/keeping/held-jobs.ts
+++ b/src/gateway/keeping/held-jobs.ts
@@ -20,10 +20,10 @@
 };
 
 /** While the object API is unavailable, milliseconds until the next attempt: every process must receive the jobs about a second after it is available again. */
-const retryMs = 300;
+const retryDelayMs = 300;
 
 /** A process removes the record of a job that does not fit within about two seconds, and within a few more while the object API is slow. A record that exists for longer than this without a result, in milliseconds, was abandoned. */
-const takeBackMs = 10_000;
+const abandonedAfterMs = 10_000;
 
 /** `waits`: another record of the job exists, and it is not certain yet that it stays. */
 type WriteOutcome = 'stands' | 'waits' | 'away';
@@ -49,7 +49,7 @@
 	async start(): Promise<void> {
 		const jobs = await this.#parts.journal.load();
 		jobs.forEach(job => {
-			this.#take(job);
+			this.#add(job);
 		});
 	}
 
@@ -65,7 +65,7 @@
 			},
 			Right: () => {
 				log.emit(gatewayEvents.jobHeld, {id, items: items.length});
-				this.#take(job);
+				this.#add(job);
 				return 'held';
 			},
 		});
@@ -75,7 +75,7 @@
 		this.#isDisposed = true;
 	}
 
-	#take(job: HeldJob) {
+	#add(job: HeldJob) {
 		this.#jobs.set(job.record.content, job);
 		if (!this.#isWriting) {
 			this.#isWriting = true;
@@ -87,7 +87,7 @@
 		while (!this.#isDisposed && this.#jobs.size > 0) {
 			await this.#writeRound();
 			if (this.#jobs.size > 0) {
-				await this.#parts.clock.sleep(retryMs);
+				await this.#parts.clock.sleep(retryDelayMs);
 			}
 		}
 
@@ -103,7 +103,7 @@
 			}
 
 			if (outcome === 'stands') {
-				await this.#drop(job);
+				await this.#removeWritten(job);
 			}
 		}
 	}
@@ -120,27 +120,27 @@
 			return 'stands';
 		}
 
-		return errorOf(created)?.kind === 'conflict' ? this.#lookAtStanding(record) : 'away';
+		return errorOf(created)?.kind === 'conflict' ? this.#checkExisting(record) : 'away';
 	}
 
 	/**
 	Another record of the job exists. One that belongs to the same acceptance, or was written as roomy, stays. For any other, the process that wrote it may have found the job too large; it then removes the record within two seconds and reports this to its caller. The job that is held here was accepted, and would be lost if the other record were taken for it.
 	*/
-	async #lookAtStanding(record: JobRecord): Promise<WriteOutcome> {
+	async #checkExisting(record: JobRecord): Promise<WriteOutcome> {
 		const {api, clock} = this.#parts;
 		const found = await api.get('BatchRecord', recordNames.job(record.job));
-		const standing = found.map(({value}) => readRecord(value)).toMaybe().extract();
-		if (found.isLeft() || standing?.type !== 'job') {
+		const existing = found.map(({value}) => readRecord(value)).toMaybe().extract();
+		if (found.isLeft() || existing?.type !== 'job') {
 			return errorOf(found)?.kind === 'notFound' ? 'waits' : 'away';
 		}
 
-		if (standing.content === record.content || standing.isRoomy || await this.#hasBegun(record.job)) {
+		if (existing.content === record.content || existing.isRoomy || await this.#hasStarted(record.job)) {
 			return 'stands';
 		}
 
 		const since = this.#blockedSince.get(record.content) ?? clock.now();
 		this.#blockedSince.set(record.content, since);
-		if (clock.now() - since > takeBackMs) {
+		if (clock.now() - since > abandonedAfterMs) {
 			// Its writer terminated before it removed the record. A job without a result can start from the beginning.
 			await api.remove('BatchRecord', recordNames.job(record.job), found.unsafeCoerce().version);
 		}
@@ -149,13 +149,13 @@
 	}
 
 	/** Only admitted jobs have results, or an end that was reported to a caller. */
-	async #hasBegun(job: BatchJobId): Promise<boolean> {
+	async #hasStarted(job: BatchJobId): Promise<boolean> {
 		const {api} = this.#parts;
 		const found = await Promise.all([recordNames.page(job, 0), recordNames.end(job)].map(async name => api.get('BatchRecord', name)));
 		return found.some(outcome => outcome.isRight());
 	}
 
-	async #drop(job: HeldJob) {
+	async #removeWritten(job: HeldJob) {
 		const {journal, log} = this.#parts;
 		const {record} = job;
 		await journal.drop(job).catch((err: unknown) => {
--- a/src/gateway/keeping/keeper-pool.ts
+++ b/src/gateway/keeping/keeper-pool.ts
@@ -17,7 +17,7 @@
 };
 
 /** The timeout of a keeper's answer, in milliseconds: it syncs a file and a folder, some ten milliseconds each. */
-const answerMs = 400;
+const answerTimeoutMs = 400;
 
 /** The number of keepers that are asked beyond those that are needed, since the registrations of some may be out of date. */
 const spareKeepers = 3;
@@ -32,36 +32,36 @@
 
 	/** Whether there are as many keepers as copies are needed. */
 	get isSufficient(): boolean {
-		return this.#parts.keeperAddresses().length >= this.#copies;
+		return this.#parts.keeperAddresses().length >= this.#requiredCopies;
 	}
 
-	get #copies(): number {
+	get #requiredCopies(): number {
 		return this.#parts.toleratedLosses + 1;
 	}
 
 	/** Resolves as soon as enough keepers have the job. */
 	async hold(job: HeldJob): Promise<HoldOutcome> {
-		const {keeperAddresses: keepers, rpc} = this.#parts;
-		const asked = keepers().slice(0, this.#copies + spareKeepers);
+		const {keeperAddresses, rpc} = this.#parts;
+		const asked = keeperAddresses().slice(0, this.#requiredCopies + spareKeepers);
 		let held = 0;
-		let doubtful = 0;
+		let uncertain = 0;
 		return new Promise(resolve => {
 			const calls = asked.map(async address => {
-				const answered = await rpc.call<HoldAnswer>({address, timeoutMs: answerMs}, holdJobMethod, job);
+				const answered = await rpc.call<HoldAnswer>({address, timeoutMs: answerTimeoutMs}, holdJobMethod, job);
 				answered
 					.ifRight(answer => {
 						held += answer === 'held' ? 1 : 0;
-						doubtful += answer === 'uncertain' ? 1 : 0;
+						uncertain += answer === 'uncertain' ? 1 : 0;
 					})
 					.ifLeft(({kind}) => {
-						doubtful += kind === 'notSent' ? 0 : 1;
+						uncertain += kind === 'notSent' ? 0 : 1;
 					});
-				if (held >= this.#copies) {
+				if (held >= this.#requiredCopies) {
 					resolve('held');
 				}
 			});
 			void Promise.all(calls).then(() => {
-				resolve(held + doubtful > 0 ? 'partly' : 'none');
+				resolve(held + uncertain > 0 ? 'partly' : 'none');
 			});
 		});
 	}
