--- a/src/gateway/batch/batch-runner.ts
+++ b/src/gateway/batch/batch-runner.ts
@@ -265,7 +265,7 @@
 
 	#fillRoute(items: readonly PendingItem[], wallNow: number) {
 		const urgent = items.toSorted(byUrgency(this.#runEstimate, wallNow));
-		let remaining = this.#slotFinder.allowance(urgent[0]!, this.#count(items, wallNow), this.#runEstimate);
+		let remaining = this.#slotFinder.slotAllowance(urgent[0]!, this.#count(items, wallNow), this.#runEstimate);
 		urgent.every(item => {
 			const isStarted = remaining > 0 && this.#tryStart(item);
 			remaining -= isStarted ? 1 : 0;
@@ -374,7 +374,7 @@
 		this.#parts.metrics.count('gateway.itemRuns', 1, {outcome: end});
 		this.#onReplicaFault[end]?.(replica);
 		this.#onTrackedEnd[end]?.(state, replica);
-		run.noteEnd(state, end, {replica: replica.record.id, route});
+		run.recordRunEnd(state, end, {replica: replica.record.id, route});
 		this.#scheduleFill();
 	}
 }
--- a/src/gateway/batch/content-store.ts
+++ b/src/gateway/batch/content-store.ts
@@ -51,7 +51,7 @@
 	}
 
 	/** Caches a content that keepers will write later. */
-	keep(name: string, content: BatchContent): void {
+	cache(name: string, content: BatchContent): void {
 		this.#addToCache(name, content);
 	}
 
@@ -77,7 +77,7 @@
 	}
 
 	/** Removes a content that no record names. If the removal fails, the content takes up storage until its job is removed. */
-	async drop(name: string): Promise<void> {
+	async remove(name: string): Promise<void> {
 		this.#evict(name);
 		await this.#api.remove('BatchContent', name);
 	}
--- a/src/gateway/batch/job-intake.ts
+++ b/src/gateway/batch/job-intake.ts
@@ -177,7 +177,7 @@
 
 		const held = await keeperPool.hold(job);
 		if (held === 'held') {
-			contents.keep(job.record.content, job.content);
+			contents.cache(job.record.content, job.content);
 			jobIndex.addHeld(job.record);
 			return 'accepted';
 		}
@@ -225,8 +225,8 @@
 			return this.#outcomeOfAccepted({job, account});
 		}
 
-		const isGone = await this.#removeRecord(job);
-		return isGone && !hasUnansweredAttempt ? 'full' : 'uncertain';
+		const isRemoved = await this.#removeRecord(job);
+		return isRemoved && !hasUnansweredAttempt ? 'full' : 'uncertain';
 	}
 
 	/** @returns Whether the record certainly does not exist any more. */
--- a/src/gateway/batch/job-route-policy.ts
+++ b/src/gateway/batch/job-route-policy.ts
@@ -57,7 +57,7 @@
 	}
 
 	/** Discards the state of a job that is no longer run here. */
-	forget(id: BatchJobId): void {
+	discard(id: BatchJobId): void {
 		this.#routeMissingSince.delete(id);
 	}
 }
--- a/src/gateway/batch/job-run.steps.ts
+++ b/src/gateway/batch/job-run.steps.ts
@@ -34,7 +34,7 @@
 
 const eventsOf = (count: number, run = 'this run'): string[] => Array.from({length: count}, (_, i) => `event ${i + 1} of ${run}`);
 
-const begin = (world: JobRunWorld, stored: ReadonlyMap<string, readonly ItemProgress[]> = new Map()) => {
+const createRun = (world: JobRunWorld, stored: ReadonlyMap<string, readonly ItemProgress[]> = new Map()) => {
 	const job = {
 		isOpen: true, isCommitted: () => false, handoverContents: [...stored.keys()], record: {items: world.items, content: 'items'},
 	} as unknown as BatchJob;
@@ -64,17 +64,17 @@
 		id: itemId(name), path: '/', headers: [], body: '', tokens: 1,
 	}));
 	this.cancelCount = 0;
-	begin(this);
+	createRun(this);
 	await this.run.load();
 });
 
 Given('the items are not read yet', function (this: JobRunWorld) {
-	begin(this);
+	createRun(this);
 });
 
 Given('the items are not read yet, and {int} events of item {string} and {int} of another run are stored', function (this: JobRunWorld, events: number, name: string, others: number) {
 	const id = itemId(name);
-	begin(this, new Map([
+	createRun(this, new Map([
 		['left by one', [{id, events: eventsOf(events), failedRuns: []}]],
 		['left by another', [{id, events: eventsOf(others, 'another run'), failedRuns: []}]],
 	]));
@@ -91,7 +91,7 @@
 	state.run = {
 		dispose: () => {
 			this.cancelCount += 1;
-			this.run.noteEnd(state, 'cut', {replica: branded<ReplicaId>('r1'), route});
+			this.run.recordRunEnd(state, 'cut', {replica: branded<ReplicaId>('r1'), route});
 		},
 	} as unknown as ItemRun;
 });
@@ -115,7 +115,7 @@
 });
 
 When('a run of item {string} here ends as hopeless', function (this: JobRunWorld, name: string) {
-	this.run.noteEnd(this.states.get(name)!, 'hopeless', {replica: branded<ReplicaId>('r1'), route});
+	this.run.recordRunEnd(this.states.get(name)!, 'hopeless', {replica: branded<ReplicaId>('r1'), route});
 });
 
 Then('the result of item {string} is the one that was handed over', function (this: JobRunWorld, name: string) {
--- a/src/gateway/batch/job-run.ts
+++ b/src/gateway/batch/job-run.ts
@@ -110,7 +110,7 @@
 	}
 
 	/** Records the end of an item's run. */
-	noteEnd(state: ItemState, end: ItemRunEnd, {replica, route}: {replica: ReplicaId; route: Pick<GatewayRoute, 'maxRuns'>}): void {
+	recordRunEnd(state: ItemState, end: ItemRunEnd, {replica, route}: {replica: ReplicaId; route: Pick<GatewayRoute, 'maxRuns'>}): void {
 		state.run = undefined;
 		state.lastEnd = end;
 		state.notBefore = this.#parts.clock.now() + (retryDelaysMs[end] ?? 0);
--- a/src/gateway/batch/job-runs.ts
+++ b/src/gateway/batch/job-runs.ts
@@ -118,7 +118,7 @@
 	#close(id: BatchJobId) {
 		this.#runs.get(id)?.dispose();
 		this.#runs.delete(id);
-		this.#routePolicy.forget(id);
+		this.#routePolicy.discard(id);
 	}
 
 	#deliverReceived(run: JobRun, id: BatchJobId) {
--- a/src/gateway/batch/slot-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -84,7 +84,7 @@
 		route, dueAt: world.now + dueInMs, events: 0, failedReplicas: new Set(), needsNewConnection: false,
 	};
 	const own = countWaiting(Array.from({length: items}, () => request), initialRunEstimate, world.now);
-	world.taken = Array.from({length: times}, () => world.finder.allowance(request, own, initialRunEstimate)).reduce((sum, slots) => sum + slots, 0) / times;
+	world.taken = Array.from({length: times}, () => world.finder.slotAllowance(request, own, initialRunEstimate)).reduce((sum, slots) => sum + slots, 0) / times;
 };
 
 When('{int} late items request slots {int} times', function (this: FinderWorld, items: number, times: number) {
--- a/src/gateway/batch/slot-finder.ts
+++ b/src/gateway/batch/slot-finder.ts
@@ -59,7 +59,7 @@
 	@param first - The most urgent item; it decides how many slots stay free.
 	@param own - How many items of the route wait at this process.
 	*/
-	allowance(first: SlotRequest, own: WaitingCounts, estimate: RunEstimate): number {
+	slotAllowance(first: SlotRequest, own: WaitingCounts, estimate: RunEstimate): number {
 		const reserve = this.#reserveFor(first, estimate);
 		const free = this.#replicasOf(first.route)
 			.map(({total, record}) => Math.max(0, record.slots - reserve - total))
--- a/src/gateway/keeping/held-jobs.steps.ts
+++ b/src/gateway/keeping/held-jobs.steps.ts
@@ -57,7 +57,7 @@
 
 const recordOf = ({api}: HoldingWorld, job: string): JobRecord | undefined => api.all<JobRecord>('BatchRecord').find(({name}) => name === recordNames.job(jobId(job)))?.value;
 
-const open = async (world: HoldingWorld) => {
+const setUp = async (world: HoldingWorld) => {
 	world.folder = await mkdtemp(path.join(tmpdir(), 'held-jobs-'));
 	world.register(async () => rm(world.folder, {recursive: true, force: true}));
 	world.api = new FakeObjectApi();
@@ -69,7 +69,7 @@
 };
 
 Given('a keeper\'s jobs, and a record of {string} by another front that {word} it( too large)', async function (this: HoldingWorld, job: string, judgement: string) {
-	await open(this);
+	await setUp(this);
 	await this.api.create('BatchRecord', recordNames.job(jobId(job)), record(job, 'foreign', judgement === 'accepted'));
 });
 
@@ -81,18 +81,18 @@
 });
 
 Given('a keeper\'s disk that is full for {string}', async function (this: HoldingWorld, job: string) {
-	await open(this);
+	await setUp(this);
 	await symlink('/dev/full', path.join(this.folder, 'jobs', `held-${job}.json`));
 });
 
 Given('a keeper\'s disk that has failed', async function (this: HoldingWorld) {
-	await open(this);
+	await setUp(this);
 	await rm(path.join(this.folder, 'jobs'), {recursive: true});
 	await writeFile(path.join(this.folder, 'jobs'), '');
 });
 
 Given('a keeper whose object API is unavailable for a while', async function (this: HoldingWorld) {
-	await open(this);
+	await setUp(this);
 	const settings = keeperSettingsSchema.parse({
 		name: keeperName, failureDomain: 'hall', peerListen: '127.0.0.1:0', dataDir: this.folder, objectApi: {address: '127.0.0.1:1'},
 	});
@@ -146,8 +146,8 @@
 const assertWriter = async (world: HoldingWorld, job: string, writer: string) => {
 	await until(() => world.jobs.size === 0, 'nothing is held');
 	assert.equal(recordOf(world, job)?.content, `${writer}-${job}`);
-	const left = await world.journal.load();
-	assert.equal(left.length, 0);
+	const remaining = await world.journal.load();
+	assert.equal(remaining.length, 0);
 };
 
 Then('the record of {string} is the keeper\'s, and nothing is held any more', async function (this: HoldingWorld, job: string) {
@@ -164,8 +164,8 @@
 
 Then('the answer is {string}, and the disk holds no job', async function (this: HoldingWorld, answer: HoldAnswer) {
 	assert.equal(this.answer, answer);
-	const left = await this.journal.load();
-	assert.equal(left.length, 0);
+	const remaining = await this.journal.load();
+	assert.equal(remaining.length, 0);
 });
 
 Then('the answer is {string}', function (this: HoldingWorld, answer: HoldAnswer) {
--- a/src/gateway/keeping/held-jobs.ts
+++ b/src/gateway/keeping/held-jobs.ts
@@ -158,7 +158,7 @@
 	async #removeWritten(job: HeldJob) {
 		const {journal, log} = this.#parts;
 		const {record} = job;
-		await journal.drop(job).catch((err: unknown) => {
+		await journal.remove(job).catch((err: unknown) => {
 			// After a restart it will be written once more, and found to exist.
 			log.emit(gatewayEvents.heldJobRemovalFailed, {id: record.job, reason: String(err)});
 		});
--- a/src/gateway/keeping/job-journal.ts
+++ b/src/gateway/keeping/job-journal.ts
@@ -48,7 +48,7 @@
 	}
 
 	/** Removes a job. Without a sync of the folder, a power loss could restore a job that has long been finished and removed. */
-	async drop(job: HeldJob): Promise<void> {
+	async remove(job: HeldJob): Promise<void> {
 		await unlink(path.join(this.#dir, fileOf(job)));
 		await this.#syncDir();
 	}
