--- a/src/gateway/batch/slot-finder.feature
+++ b/src/gateway/batch/slot-finder.feature
@@ -23,9 +23,9 @@
     When 8 late items request slots 100 times
     Then they may take 10 slots at a time on average
 
-  Scenario: A peer that announces nothing of its items reserves no slots
+  Scenario: A peer that announces nothing about its items reserves no slots
     # It runs an earlier version of the program.
-    Given peer "front-2" announces nothing of its items
+    Given peer "front-2" announces nothing about its items
     When 8 late items request slots 100 times
     Then they may take 10 slots at a time on average
 
--- a/src/gateway/batch/slot-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -65,7 +65,7 @@
 	announce(this, member, [{route: 'digests', timely, late}]);
 });
 
-Given('peer {string} announces nothing of its items', function (this: FinderWorld, member: string) {
+Given('peer {string} announces nothing about its items', function (this: FinderWorld, member: string) {
 	announce(this, member, undefined);
 });
 
