--- a/src/gateway/batch/batch-runner.ts
+++ b/src/gateway/batch/batch-runner.ts
@@ -1,5 +1,5 @@
 /**
-Runs the items of the jobs that this process has claimed, in the places that online calls leave free, and gives places back as soon as online calls need them. An item that is cut off goes on later from its last event, so what is lost is the reading of its prompt.
+Runs the items of the jobs that this process has claimed, in slots that online calls leave free, and releases slots as soon as online calls need them. A preempted item resumes later after its last event, so only the prefill of its prompt is lost.
 */
 import {Buffer} from 'node:buffer';
 import type {
@@ -43,10 +43,10 @@
 import {JobRoutePolicy} from './job-route-policy.js';
 import {SlotFinder, type SlotRequest} from './slot-finder.js';
 
-/** How the headers of an item are put together. */
+/** Builds the headers with which an item is sent. */
 export type ItemHeaderBuilder = (host: string, itemId: string, headers: BatchItem['headers']) => string[];
 
-/** What the runner reads and writes. */
+/** Dependencies of the runner. */
 export type BatchRunnerParts = {
 	readonly self: MemberName;
 	readonly api: ObjectApi;
@@ -59,7 +59,7 @@
 	readonly failedRuns: FailedRuns;
 	readonly board: ConfigBoard;
 	readonly directory: ReplicaDirectory;
-	/** Of the directory. */
+	/** Freshness of the directory. */
 	readonly replicaFreshness: FeedFreshness;
 	readonly loads: LoadBoard;
 	readonly connectionPools: ReplicaConnectionPools;
@@ -74,29 +74,29 @@
 	readonly failureDomain: string;
 };
 
-/** An item that waits for a place. */
-type WaitingPlace = SlotRequest & {
+/** An item that waits for a slot. */
+type PendingItem = SlotRequest & {
 	readonly run: JobRun;
 	readonly job: BatchJob;
 	readonly state: ItemState;
 };
 
-/** A place that was found for an item. */
-type ItemPlace = WaitingPlace & {
+/** An item with the replica at which a slot was found for it. */
+type AssignedItem = PendingItem & {
 	readonly replica: Replica;
 };
 
-/** Changes of load come in bursts; the free places are looked at once for all that come within this many milliseconds. */
-const burstMs = 10;
+/** Changes of load come in bursts; free slots are reviewed once for all changes within this many milliseconds. */
+const coalesceMs = 10;
 
-/** After places were taken, the peers must have heard of it before more are; a message travels for this long at most within a region, in milliseconds. */
-const travelMs = 20;
+/** After slots were taken, the peers must have received this before more are taken; a message takes at most this long within a region, in milliseconds. */
+const maxTransitMs = 20;
 
-/** Without any change, milliseconds until free places and claims are looked at again. */
-const reviewMs = 150;
+/** Without any change, milliseconds until free slots and claims are reviewed again. */
+const reviewIntervalMs = 150;
 
-const groupByRoute = (items: readonly WaitingPlace[]): ReadonlyMap<string, readonly WaitingPlace[]> => {
-	const groups = new Map<string, WaitingPlace[]>();
+const groupByRoute = (items: readonly PendingItem[]): ReadonlyMap<string, readonly PendingItem[]> => {
+	const groups = new Map<string, PendingItem[]>();
 	items.forEach(item => {
 		const group = groups.get(item.route.name) ?? [];
 		group.push(item);
@@ -111,8 +111,8 @@
 export class BatchRunner implements Disposable {
 	readonly #parts: BatchRunnerParts;
 	readonly #runs: JobRuns;
-	readonly #finder: SlotFinder;
-	readonly #terms: JobRoutePolicy;
+	readonly #slotFinder: SlotFinder;
+	readonly #routePolicy: JobRoutePolicy;
 	readonly #onReplicaFault: Readonly<Partial<Record<ItemRunEnd, (replica: Replica) => void>>> = {
 		unreachable: replica => {
 			this.#parts.reachability.noteUnreachable(replica);
@@ -125,54 +125,54 @@
 		},
 	};
 
-	readonly #onWatchedEnd: Readonly<Partial<Record<ItemRunEnd, (state: ItemState, replica: Replica) => void>>> = {
-		finished({trackedContent: watched}) {
-			watched?.noteCompleted();
+	readonly #onTrackedEnd: Readonly<Partial<Record<ItemRunEnd, (state: ItemState, replica: Replica) => void>>> = {
+		finished({trackedContent}) {
+			trackedContent?.noteCompleted();
 		},
-		lost({trackedContent: watched}, replica) {
-			void watched?.noteConnectionLost(replica);
+		lost({trackedContent}, replica) {
+			void trackedContent?.noteConnectionLost(replica);
 		},
 	};
 
-	#runLength = initialRunEstimate;
+	#runEstimate = initialRunEstimate;
 	#waiting: readonly SharedWaiting[] = [];
 	#nextFillAt = 0;
-	#pending: NodeJS.Timeout | undefined;
-	#review: NodeJS.Timeout | undefined;
+	#fillTimer: NodeJS.Timeout | undefined;
+	#reviewTimer: NodeJS.Timeout | undefined;
 	#isStopped = false;
 
 	constructor(parts: BatchRunnerParts) {
 		this.#parts = parts;
-		const {loads, jobIndex: book, board, clock} = parts;
-		this.#finder = new SlotFinder(parts);
-		this.#terms = new JobRoutePolicy(board, clock);
-		this.#runs = new JobRuns(parts, this.#terms);
+		const {loads, jobIndex, board, clock} = parts;
+		this.#slotFinder = new SlotFinder(parts);
+		this.#routePolicy = new JobRoutePolicy(board, clock);
+		this.#runs = new JobRuns(parts, this.#routePolicy);
 		loads.onLocalChange(replica => {
-			this.#onLoad(replica);
+			this.#onLoadChange(replica);
 		});
 		loads.onPeerChange(replica => {
-			this.#onLoad(replica);
+			this.#onLoadChange(replica);
 		});
-		book.onChange(() => {
-			this.#takeClaims();
-			this.#fillSoon();
+		jobIndex.onChange(() => {
+			this.#reviewClaims();
+			this.#scheduleFill();
 		});
 	}
 
-	/** Items that waited for a place at the last look. */
+	/** The numbers of items that waited for a slot at the last review, by route. */
 	get waiting(): readonly SharedWaiting[] {
 		return this.#waiting;
 	}
 
-	/** Begins to run items. */
+	/** Starts to review claims and to run items. */
 	start(): void {
-		this.#review = setInterval(() => {
-			this.#takeClaims();
+		this.#reviewTimer = setInterval(() => {
+			this.#reviewClaims();
 			this.#fill();
-		}, reviewMs);
+		}, reviewIntervalMs);
 	}
 
-	/** Gives all jobs away, with what is known of their items, and cuts their runs off. */
+	/** Cancels all runs and hands the jobs over to peers, with the progress of their items. */
 	async handOver(): Promise<void> {
 		this.#isStopped = true;
 		this.#waiting = [];
@@ -182,12 +182,12 @@
 	/**
 	Takes a job over from a process that shuts down.
 
-	@returns False when this process shuts down itself.
+	@returns False if this process shuts down itself.
 	*/
 	takeOver(handover: JobHandover): boolean {
 		const isTaken = this.#runs.takeOver(handover);
 		if (isTaken) {
-			this.#takeClaims();
+			this.#reviewClaims();
 		}
 
 		return isTaken;
@@ -195,28 +195,28 @@
 
 	dispose(): void {
 		this.#isStopped = true;
-		clearInterval(this.#review);
-		clearTimeout(this.#pending);
+		clearInterval(this.#reviewTimer);
+		clearTimeout(this.#fillTimer);
 		this.#runs.dispose();
 	}
 
-	#takeClaims() {
+	#reviewClaims() {
 		this.#runs.review(() => {
-			this.#fillSoon();
+			this.#scheduleFill();
 		});
 	}
 
-	#onLoad(replica: Replica) {
+	#onLoadChange(replica: Replica) {
 		const count = itemsToPreempt(replica, this.#parts.self);
 		if (count > 0) {
-			this.#cut(replica, count);
+			this.#preempt(replica, count);
 		}
 
-		this.#fillSoon();
+		this.#scheduleFill();
 	}
 
-	/** The runs that have brought least are cut off, since they lose least by it. */
-	#cut(replica: Replica, count: number) {
+	/** Preempts the runs with the fewest events, since they lose the least work. */
+	#preempt(replica: Replica, count: number) {
 		this.#runs.all
 			.flatMap(run => run.running)
 			.filter(({run}) => run?.replica === replica)
@@ -227,17 +227,17 @@
 			});
 	}
 
-	#fillSoon() {
+	#scheduleFill() {
 		const now = this.#parts.clock.now();
-		this.#pending ??= setTimeout(() => {
+		this.#fillTimer ??= setTimeout(() => {
 			this.#fill();
-		}, Math.max(burstMs, this.#nextFillAt - now));
+		}, Math.max(coalesceMs, this.#nextFillAt - now));
 	}
 
-	/** Fills this process's share of the free places, with the most urgent items. */
+	/** Fills this process's share of the free slots with the most urgent items. */
 	#fill() {
-		clearTimeout(this.#pending);
-		this.#pending = undefined;
+		clearTimeout(this.#fillTimer);
+		this.#fillTimer = undefined;
 		if (this.#isStopped) {
 			return;
 		}
@@ -245,13 +245,13 @@
 		const {clock, replicaFreshness} = this.#parts;
 		if (!replicaFreshness.isFresh) {
 			void replicaFreshness.refresh().then(() => {
-				this.#fillSoon();
+				this.#scheduleFill();
 			});
 			return;
 		}
 
 		const wallNow = clock.wall();
-		const byRoute = groupByRoute(this.#runs.all.flatMap(run => this.#waitingOf(run)));
+		const byRoute = groupByRoute(this.#runs.all.flatMap(run => this.#pendingItemsOf(run)));
 		[...byRoute.values()].forEach(items => {
 			this.#fillRoute(items, wallNow);
 		});
@@ -260,31 +260,31 @@
 			return;
 		}
 
-		this.#nextFillAt = clock.now() + (this.#finder.processCount > 1 ? announcementDelayMs(this.#parts.peers.live.length) + travelMs : 0);
+		this.#nextFillAt = clock.now() + (this.#slotFinder.processCount > 1 ? announcementDelayMs(this.#parts.peers.live.length) + maxTransitMs : 0);
 	}
 
-	#fillRoute(items: readonly WaitingPlace[], wallNow: number) {
-		const urgent = items.toSorted(byUrgency(this.#runLength, wallNow));
-		let left = this.#finder.allowance(urgent[0]!, this.#count(items, wallNow), this.#runLength);
+	#fillRoute(items: readonly PendingItem[], wallNow: number) {
+		const urgent = items.toSorted(byUrgency(this.#runEstimate, wallNow));
+		let remaining = this.#slotFinder.slotAllowance(urgent[0]!, this.#count(items, wallNow), this.#runEstimate);
 		urgent.every(item => {
-			const isStarted = left > 0 && this.#start(item);
-			left -= isStarted ? 1 : 0;
-			return left > 0;
+			const isStarted = remaining > 0 && this.#tryStart(item);
+			remaining -= isStarted ? 1 : 0;
+			return remaining > 0;
 		});
 	}
 
-	#count(items: readonly WaitingPlace[], wallNow: number): WaitingCounts {
-		return countWaiting(items, this.#runLength, wallNow);
+	#count(items: readonly PendingItem[], wallNow: number): WaitingCounts {
+		return countWaiting(items, this.#runEstimate, wallNow);
 	}
 
-	#waitingOf(run: JobRun): WaitingPlace[] {
+	#pendingItemsOf(run: JobRun): PendingItem[] {
 		const {job} = run;
 		if (!job?.isOpen) {
 			return [];
 		}
 
-		const route = this.#terms.routeOf(job);
-		if (route ? this.#terms.isExpired(job, route) : this.#terms.hasLostRoute(job)) {
+		const route = this.#routePolicy.routeOf(job);
+		if (route ? this.#routePolicy.isExpired(job, route) : this.#routePolicy.hasLostRoute(job)) {
 			run.giveUpAll();
 			return [];
 		}
@@ -294,13 +294,13 @@
 		}
 
 		run.giveUpFailed(route);
-		const dueAt = this.#terms.dueAt(job);
-		return run.waiting().filter(state => this.#watch(job, state).heldMs === 0).map(state => ({
+		const dueAt = this.#routePolicy.dueAt(job);
+		return run.waiting().filter(state => this.#track(job, state).heldMs === 0).map(state => ({
 			run, job, route, state, dueAt, events: state.events.length, failedReplicas: new Set(this.#parts.failedRuns.of(state.item.id).map(({replica}) => replica)), needsNewConnection: state.lastEnd === 'broken',
 		}));
 	}
 
-	#watch(job: BatchJob, state: ItemState): TrackedContent {
+	#track(job: BatchJob, state: ItemState): TrackedContent {
 		const {path, body} = state.item;
 		state.trackedContent ??= new TrackedContent(this.#parts, 'batch', {
 			host: job.record.host, method: itemMethod, target: path, body: Buffer.from(body, 'base64'),
@@ -308,73 +308,73 @@
 		return state.trackedContent;
 	}
 
-	/** @returns Whether a place was found. */
-	#start(item: WaitingPlace): boolean {
-		const place = this.#finder.findSlot(item, this.#runLength);
-		if (place) {
-			this.#send({...item, replica: place.replica}, place.connection);
+	/** @returns Whether a slot was found. */
+	#tryStart(item: PendingItem): boolean {
+		const slot = this.#slotFinder.findSlot(item, this.#runEstimate);
+		if (slot) {
+			this.#send({...item, replica: slot.replica}, slot.connection);
 		}
 
-		return place !== undefined;
+		return slot !== undefined;
 	}
 
-	#send(place: ItemPlace, connection: ReplicaConnection) {
-		const {job, state, replica} = place;
+	#send(assigned: AssignedItem, connection: ReplicaConnection) {
+		const {job, state, replica} = assigned;
 		const {
-			loads, reachability: contacts, dialect, itemHeaders, log, clock,
+			loads, reachability, dialect, itemHeaders, log, clock,
 		} = this.#parts;
 		const {item, events} = state;
 		log.emit(gatewayEvents.itemStarted, {
-			job: job.id, item: item.id, replica: replica.record.id, resumeAfter: events.length, dueInMs: Math.round(this.#terms.dueAt(job) - clock.wall()), ...registrationAge(this.#parts, replica),
+			job: job.id, item: item.id, replica: replica.record.id, resumeAfter: events.length, dueInMs: Math.round(this.#routePolicy.dueAt(job) - clock.wall()), ...registrationAge(this.#parts, replica),
 		});
-		const giveBack = loads.acquireSlot(replica, 'batch');
+		const releaseSlot = loads.acquireSlot(replica, 'batch');
 		const startedAt = clock.now();
 		state.firstStartedAt ??= startedAt;
-		const known = events.length;
+		const eventsBefore = events.length;
 		state.run = new ItemRun({
 			item,
 			replica,
 			connection,
-			reachability: contacts.of(replica),
+			reachability: reachability.of(replica),
 			clock,
 			dialect,
-			isCurrent: () => isEligible(this.#parts, replica),
+			isEligible: () => isEligible(this.#parts, replica),
 			headers: itemHeaders(job.record.host, item.id, item.headers),
 			events,
 			caller: this.#callerOf(job),
 			onEnd: (end, reason) => {
-				giveBack();
+				releaseSlot();
 				log.emit(gatewayEvents.itemRunEnded, {
 					job: job.id, item: item.id, replica: replica.record.id, outcome: end, events: events.length, reason, elapsedMs: Math.round(clock.now() - startedAt),
 				});
 				state.ranMs += clock.now() - startedAt;
 				if (end === 'finished') {
-					this.#learn(place, {events: events.length - known, elapsedMs: clock.now() - startedAt, total: events.length});
+					this.#updateEstimate(assigned, {events: events.length - eventsBefore, elapsedMs: clock.now() - startedAt, total: events.length});
 				}
 
-				this.#onRunEnd(place, end);
+				this.#onRunEnd(assigned, end);
 			},
 		});
 		state.run.start();
 	}
 
-	/** A job keeps its account when operators take its key away, or declare no accounts any more. */
+	/** A job keeps its account even if operators revoke the key or no longer declare any accounts. */
 	#callerOf({record: {account}}: BatchJob): CallerIdentity | undefined {
 		return account !== undefined || this.#parts.board.accounts ? {account} : undefined;
 	}
 
-	/** An item that was late has waited behind those that could be on time, and says nothing of how long these take. */
-	#learn({dueAt, state: {firstStartedAt: begunAt = 0, ranMs}}: ItemPlace, lastRun: {events: number; elapsedMs: number; total: number}) {
+	/** A late item has waited behind those that could be on time, so it is no sample of how long these take. */
+	#updateEstimate({dueAt, state: {firstStartedAt = 0, ranMs}}: AssignedItem, lastRun: {events: number; elapsedMs: number; total: number}) {
 		const {clock} = this.#parts;
-		const length = updateEstimate(this.#runLength, lastRun);
-		this.#runLength = clock.wall() <= dueAt ? updateSlowdown(length, {elapsedMs: clock.now() - begunAt, ranMs}) : length;
+		const estimate = updateEstimate(this.#runEstimate, lastRun);
+		this.#runEstimate = clock.wall() <= dueAt ? updateSlowdown(estimate, {elapsedMs: clock.now() - firstStartedAt, ranMs}) : estimate;
 	}
 
-	#onRunEnd({run, route, state, replica}: ItemPlace, end: ItemRunEnd) {
+	#onRunEnd({run, route, state, replica}: AssignedItem, end: ItemRunEnd) {
 		this.#parts.metrics.count('gateway.itemRuns', 1, {outcome: end});
 		this.#onReplicaFault[end]?.(replica);
-		this.#onWatchedEnd[end]?.(state, replica);
-		run.noteEnd(state, end, {replica: replica.record.id, route});
-		this.#fillSoon();
+		this.#onTrackedEnd[end]?.(state, replica);
+		run.recordRunEnd(state, end, {replica: replica.record.id, route});
+		this.#scheduleFill();
 	}
 }
--- a/src/gateway/batch/content-store.ts
+++ b/src/gateway/batch/content-store.ts
@@ -1,5 +1,5 @@
 /**
-Prompts and texts of batch jobs: written once under a name that no other writer uses, read by name, and kept in memory for a while, since what was written or read is often asked for again soon.
+Stores prompts and outputs of batch jobs in the object API, each written once under a unique name. Contents that were written or read are cached in memory, since they are often requested again soon.
 */
 import {randomUUID} from 'node:crypto';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -9,10 +9,10 @@
 import type {BatchJobId} from '../types.js';
 import {readContent, type BatchContent} from './batch-records.js';
 
-/** Contents that are kept, in characters: some hundred results, a small part of what a front may use. */
-const maxKeptCharacters = 6_000_000;
+/** The size limit of the cache, in characters: some hundred results, a small part of the memory that a front may use. */
+const maxCachedCharacters = 6_000_000;
 
-type Kept = {readonly content: BatchContent; readonly size: number};
+type CachedContent = {readonly content: BatchContent; readonly size: number};
 
 const textSizes: {readonly [K in BatchContent['type']]: (content: Extract<BatchContent, {type: K}>) => number} = {
 	items: ({items}) => items.reduce((sum, {body}) => sum + body.length, 0),
@@ -25,20 +25,20 @@
 /** See the module's head. */
 export class ContentStore {
 	readonly #api: ObjectApi;
-	/** The least recently used first. */
-	readonly #kept = new Map<string, Kept>();
+	/** In the order of last use, the least recently used first. */
+	readonly #cache = new Map<string, CachedContent>();
 	#size = 0;
 
 	constructor(api: ObjectApi) {
 		this.#api = api;
 	}
 
-	/** A name that no other process gives. */
+	/** Generates a name that no other process uses. */
 	newName(job: BatchJobId): string {
 		return `${job}-${randomUUID()}`;
 	}
 
-	/** Writes a content. Under a name of its own the same write may be made again when its answer was lost. */
+	/** Writes a content. Since its name is unique, a write whose answer was lost can be repeated: a conflict means that it succeeded. */
 	async write(name: string, content: BatchContent): Promise<Either<ApiError, void>> {
 		const created = await this.#api.create('BatchContent', name, content);
 		const err = errorOf(created);
@@ -46,54 +46,54 @@
 			return Left(err);
 		}
 
-		this.#keep(name, content);
+		this.#addToCache(name, content);
 		return Right(undefined);
 	}
 
-	/** Keeps a content that is to be written later by others. */
-	keep(name: string, content: BatchContent): void {
-		this.#keep(name, content);
+	/** Caches a content that keepers will write later. */
+	cache(name: string, content: BatchContent): void {
+		this.#addToCache(name, content);
 	}
 
 	async read<T extends BatchContent['type']>(type: T, name: string): Promise<Either<ApiError, Extract<BatchContent, {type: T}>>> {
-		const kept = this.#kept.get(name);
-		if (kept) {
-			this.#keep(name, kept.content);
-			return Right(kept.content as Extract<BatchContent, {type: T}>);
+		const cached = this.#cache.get(name);
+		if (cached) {
+			this.#addToCache(name, cached.content);
+			return Right(cached.content as Extract<BatchContent, {type: T}>);
 		}
 
-		// A content never changes, so a copy that lags can at most lack it.
+		// A content never changes, so a lagging copy can at most lack it.
 		const copy = await this.#api.get('BatchContent', name, {mayLag: true});
 		const found = copy.isLeft() ? await this.#api.get('BatchContent', name) : copy;
 		return found.chain<ApiError, Extract<BatchContent, {type: T}>>(({value}) => {
 			const content = readContent(type, value);
 			if (!content) {
-				return Left({kind: 'unavailable', reason: 'a content that can not be read'});
+				return Left({kind: 'unavailable', reason: 'stored content is invalid'});
 			}
 
-			this.#keep(name, content);
+			this.#addToCache(name, content);
 			return Right(content);
 		});
 	}
 
-	/** Removes a content that no record names. One that stays behind costs room until its job is removed. */
-	async drop(name: string): Promise<void> {
-		this.#forget(name);
+	/** Removes a content that no record names. If the removal fails, the content takes up storage until its job is removed. */
+	async remove(name: string): Promise<void> {
+		this.#evict(name);
 		await this.#api.remove('BatchContent', name);
 	}
 
-	#keep(name: string, content: BatchContent) {
-		this.#forget(name);
+	#addToCache(name: string, content: BatchContent) {
+		this.#evict(name);
 		const size = sizeOf(content);
-		this.#kept.set(name, {content, size});
+		this.#cache.set(name, {content, size});
 		this.#size += size;
-		while (this.#size > maxKeptCharacters && this.#kept.size > 1) {
-			this.#forget(this.#kept.keys().next().value!);
+		while (this.#size > maxCachedCharacters && this.#cache.size > 1) {
+			this.#evict(this.#cache.keys().next().value!);
 		}
 	}
 
-	#forget(name: string) {
-		this.#size -= this.#kept.get(name)?.size ?? 0;
-		this.#kept.delete(name);
+	#evict(name: string) {
+		this.#size -= this.#cache.get(name)?.size ?? 0;
+		this.#cache.delete(name);
 	}
 }
--- a/src/gateway/batch/job-claims.steps.ts
+++ b/src/gateway/batch/job-claims.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for claims, on the tables alone and in time that the steps set.
+Steps for claims, on tables in memory and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -20,14 +20,14 @@
 	job: {isOpen: boolean};
 	now: number;
 	seq: number;
-	membersKnownAt: number | undefined;
+	membersLoadedAt: number | undefined;
 };
 
 const log: EventLog = {emit: () => undefined};
 const self = branded<MemberName>('front-1');
 const jobId = (name: string): BatchJobId => branded<BatchJobId>(name);
 
-/** Between two reviews, in milliseconds. */
+/** The interval between two reviews, in milliseconds. */
 const reviewMs = 150;
 
 /** Longer than a process that has just started listens to its peers, in milliseconds. */
@@ -36,7 +36,7 @@
 Given('job {string} is open', function (this: ClaimsWorld, name: string) {
 	this.now = 0;
 	this.seq = 0;
-	this.membersKnownAt = 0;
+	this.membersLoadedAt = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	const directory = new ReplicaDirectory();
 	this.peers = new PeerTable({
@@ -51,7 +51,7 @@
 		job: () => job,
 	} as unknown as JobIndex;
 	this.claims = new JobClaims({
-		self, jobIndex, peers: this.peers, clock, log, isLeaving: () => false, membersFirstLoadedAt: () => this.membersKnownAt,
+		self, jobIndex, peers: this.peers, clock, log, isLeaving: () => false, membersFirstLoadedAt: () => this.membersLoadedAt,
 	});
 });
 
@@ -70,7 +70,7 @@
 	this.now += ms;
 });
 
-Given('process {string} goes on for {int} ms', function (this: ClaimsWorld, _name: string, ms: number) {
+Given('process {string} continues for {int} ms', function (this: ClaimsWorld, _name: string, ms: number) {
 	const reviews = Math.ceil(ms / reviewMs);
 	Array.from({length: reviews}).forEach(() => {
 		this.now += ms / reviews;
@@ -78,11 +78,11 @@
 	});
 });
 
-Given('process {string} did not know where its peers are until now', function (this: ClaimsWorld, _name: string) {
-	this.membersKnownAt = this.now;
+Given('process {string} did not have the addresses of its peers until now', function (this: ClaimsWorld, _name: string) {
+	this.membersLoadedAt = this.now;
 });
 
-const tell = (world: ClaimsWorld, peer: string, jobs: BatchJobId[]) => {
+const announce = (world: ClaimsWorld, peer: string, jobs: BatchJobId[]) => {
 	world.seq += 1;
 	world.peers.receive({
 		member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: world.seq, isLeaving: true, loads: [], jobs,
@@ -90,11 +90,11 @@
 };
 
 Given('peer {string} runs {string} and is leaving', function (this: ClaimsWorld, peer: string, job: string) {
-	tell(this, peer, [jobId(job)]);
+	announce(this, peer, [jobId(job)]);
 });
 
 Given('peer {string} runs nothing and is leaving', function (this: ClaimsWorld, peer: string) {
-	tell(this, peer, []);
+	announce(this, peer, []);
 });
 
 When('the claims are reviewed', function (this: ClaimsWorld) {
--- a/src/gateway/batch/job-run.steps.ts
+++ b/src/gateway/batch/job-run.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the items of a job, with contents that the steps give and runs that do nothing.
+Steps for the items of a job, with contents from the steps and runs that do nothing.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -22,9 +22,9 @@
 	items: BatchItem[];
 	run: JobRun;
 	failedRuns: FailedRuns;
-	cuts: number;
+	cancelCount: number;
 	results: Map<BatchItemId, ItemResult>;
-	/** Of items that were made to run here. */
+	/** The states of items that were made to run here. */
 	states: Map<string, ItemState>;
 };
 
@@ -34,7 +34,7 @@
 
 const eventsOf = (count: number, run = 'this run'): string[] => Array.from({length: count}, (_, i) => `event ${i + 1} of ${run}`);
 
-const begin = (world: JobRunWorld, stored: ReadonlyMap<string, readonly ItemProgress[]> = new Map()) => {
+const createRun = (world: JobRunWorld, stored: ReadonlyMap<string, readonly ItemProgress[]> = new Map()) => {
 	const job = {
 		isOpen: true, isCommitted: () => false, handoverContents: [...stored.keys()], record: {items: world.items, content: 'items'},
 	} as unknown as BatchJob;
@@ -63,18 +63,18 @@
 	this.items = names.split(', ').map(name => ({
 		id: itemId(name), path: '/', headers: [], body: '', tokens: 1,
 	}));
-	this.cuts = 0;
-	begin(this);
+	this.cancelCount = 0;
+	createRun(this);
 	await this.run.load();
 });
 
 Given('the items are not read yet', function (this: JobRunWorld) {
-	begin(this);
+	createRun(this);
 });
 
 Given('the items are not read yet, and {int} events of item {string} and {int} of another run are stored', function (this: JobRunWorld, events: number, name: string, others: number) {
 	const id = itemId(name);
-	begin(this, new Map([
+	createRun(this, new Map([
 		['left by one', [{id, events: eventsOf(events), failedRuns: []}]],
 		['left by another', [{id, events: eventsOf(others, 'another run'), failedRuns: []}]],
 	]));
@@ -90,8 +90,8 @@
 	state.events.push(...eventsOf(events));
 	state.run = {
 		dispose: () => {
-			this.cuts += 1;
-			this.run.noteEnd(state, 'cut', {replica: branded<ReplicaId>('r1'), route});
+			this.cancelCount += 1;
+			this.run.recordRunEnd(state, 'cut', {replica: branded<ReplicaId>('r1'), route});
 		},
 	} as unknown as ItemRun;
 });
@@ -115,15 +115,15 @@
 });
 
 When('a run of item {string} here ends as hopeless', function (this: JobRunWorld, name: string) {
-	this.run.noteEnd(this.states.get(name)!, 'hopeless', {replica: branded<ReplicaId>('r1'), route});
+	this.run.recordRunEnd(this.states.get(name)!, 'hopeless', {replica: branded<ReplicaId>('r1'), route});
 });
 
 Then('the result of item {string} is the one that was handed over', function (this: JobRunWorld, name: string) {
 	assert.deepEqual(this.results.get(itemId(name)), {id: itemId(name), state: 'completed', output: 'whole'});
 });
 
-Then('its run has been cut off', function (this: JobRunWorld) {
-	assert.equal(this.cuts, 1);
+Then('its run has been cancelled', function (this: JobRunWorld) {
+	assert.equal(this.cancelCount, 1);
 });
 
 Then('item {string} waits with {int} events', function (this: JobRunWorld, name: string, events: number) {
@@ -137,10 +137,10 @@
 Then('item {string} runs with {int} events', function (this: JobRunWorld, name: string, events: number) {
 	const running = this.run.running.find(({item}) => item.id === itemId(name));
 	assert.deepEqual(running?.events, eventsOf(events));
-	assert.equal(this.cuts, 0);
+	assert.equal(this.cancelCount, 0);
 });
 
-Then('item {string} is not to go to {string} again', function (this: JobRunWorld, name: string, replica: string) {
+Then('item {string} waits and has failed at {string}', function (this: JobRunWorld, name: string, replica: string) {
 	assert.ok(waitingState(this, name));
 	assert.ok(this.failedRuns.of(itemId(name)).some(run => run.replica === branded<ReplicaId>(replica)));
 });
--- a/src/gateway/batch/job-runs.ts
+++ b/src/gateway/batch/job-runs.ts
@@ -1,5 +1,5 @@
 /**
-The jobs that this process runs: a run is opened for each job that it has claimed and closed with the claim; a planned stop passes them to peers, and those of peers that stop are taken over.
+The jobs that this process runs. A run is opened for each job that it has claimed and closed with the claim; a planned stop hands the jobs over to peers, and jobs of peers that stop are taken over.
 */
 import type {Clock, Disposable} from '../../common/services.js';
 import type {BatchJobId} from '../types.js';
@@ -12,7 +12,7 @@
 import type {JobRoutePolicy} from './job-route-policy.js';
 import {ResultWriter, type ResultWriterParts} from './result-writer.js';
 
-/** What the runs are made from. */
+/** Dependencies of the runs. */
 export type JobRunsParts = HandoverSenderParts & ResultWriterParts & {
 	readonly jobIndex: JobIndex;
 	readonly contents: ContentStore;
@@ -21,23 +21,23 @@
 	readonly clock: Clock;
 };
 
-/** Handovers of jobs that are not known yet, because the object API's news of them is late; a process runs some dozen jobs. */
-const maxReceived = 200;
+/** The maximum number of handovers of jobs that are not in the index yet, because changes in the object API are received late; a process runs some dozen jobs. */
+const maxReceivedHandovers = 200;
 
 /** See the module's head. */
 export class JobRuns implements Disposable {
 	readonly #parts: JobRunsParts;
-	readonly #terms: JobRoutePolicy;
-	readonly #leaver: HandoverSender;
+	readonly #routePolicy: JobRoutePolicy;
+	readonly #handoverSender: HandoverSender;
 	readonly #runs = new Map<BatchJobId, JobRun>();
-	/** Left by former holders, of jobs that this process does not run yet. */
-	readonly #received = new Map<BatchJobId, JobHandover[]>();
+	/** Handovers by former holders, of jobs that this process does not run yet. */
+	readonly #receivedHandovers = new Map<BatchJobId, JobHandover[]>();
 	#isLeaving = false;
 
-	constructor(parts: JobRunsParts, terms: JobRoutePolicy) {
+	constructor(parts: JobRunsParts, routePolicy: JobRoutePolicy) {
 		this.#parts = parts;
-		this.#terms = terms;
-		this.#leaver = new HandoverSender(parts);
+		this.#routePolicy = routePolicy;
+		this.#handoverSender = new HandoverSender(parts);
 	}
 
 	get all(): readonly JobRun[] {
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	Opens a run for each claimed job and closes those that are claimed no more.
+	Opens a run for each claimed job and closes the runs of jobs that are no longer claimed.
 
-	@param onLoaded - Called when a run knows its items.
+	@param onLoaded - Called when a run has loaded its items.
 	*/
 	review(onLoaded: () => void): void {
 		const {claims} = this.#parts;
@@ -59,19 +59,19 @@
 			this.#open(id);
 		});
 		this.#runs.forEach((run, id) => {
-			this.#passReceived(run, id);
+			this.#deliverReceived(run, id);
 			void run.load().then(onLoaded);
 		});
 	}
 
-	/** Gives all jobs away, with what is known of their items, and cuts their runs off. */
+	/** Cancels all runs and hands the jobs over to peers, with the progress of their items. */
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
 		this.all.forEach(run => {
 			run.cancelRuns();
 		});
 		await Promise.all([...this.#runs].map(async ([id, run]) => {
-			await this.#leaver.handOver(run);
+			await this.#handoverSender.handOver(run);
 			this.#parts.claims.release(id);
 			this.#close(id);
 		}));
@@ -80,17 +80,17 @@
 	/**
 	Takes a job over from a process that shuts down.
 
-	@returns False when this process shuts down itself.
+	@returns False if this process shuts down itself.
 	*/
 	takeOver(handover: JobHandover): boolean {
 		if (this.#isLeaving) {
 			return false;
 		}
 
-		this.#received.set(handover.job, [...this.#received.get(handover.job) ?? [], handover]);
-		if (this.#received.size > maxReceived) {
-			const [oldest] = this.#received.keys();
-			this.#received.delete(oldest!);
+		this.#receivedHandovers.set(handover.job, [...this.#receivedHandovers.get(handover.job) ?? [], handover]);
+		if (this.#receivedHandovers.size > maxReceivedHandovers) {
+			const [oldest] = this.#receivedHandovers.keys();
+			this.#receivedHandovers.delete(oldest!);
 		}
 
 		this.#parts.claims.accept(handover.job);
@@ -106,10 +106,10 @@
 
 	#open(id: BatchJobId) {
 		const {
-			jobIndex: book, contents, failedRuns, clock, log,
+			jobIndex, contents, failedRuns, clock, log,
 		} = this.#parts;
-		const job = () => book.job(id);
-		const writer = new ResultWriter(this.#parts, job, accepted => this.#terms.dueAt(accepted));
+		const job = () => jobIndex.job(id);
+		const writer = new ResultWriter(this.#parts, job, accepted => this.#routePolicy.dueAt(accepted));
 		this.#runs.set(id, new JobRun({
 			job, writer, contents, failedRuns, clock, log,
 		}));
@@ -118,13 +118,13 @@
 	#close(id: BatchJobId) {
 		this.#runs.get(id)?.dispose();
 		this.#runs.delete(id);
-		this.#terms.forget(id);
+		this.#routePolicy.discard(id);
 	}
 
-	#passReceived(run: JobRun, id: BatchJobId) {
-		this.#received.get(id)?.forEach(handover => {
+	#deliverReceived(run: JobRun, id: BatchJobId) {
+		this.#receivedHandovers.get(id)?.forEach(handover => {
 			run.receive(handover);
 		});
-		this.#received.delete(id);
+		this.#receivedHandovers.delete(id);
 	}
 }
--- a/src/gateway/batch/job-writer.ts
+++ b/src/gateway/batch/job-writer.ts
@@ -1,5 +1,5 @@
 /**
-Writes what lasts of a new batch job: its content, then the record that names it. The writer tells apart what its caller must know before it promises anything: whether the record is certainly this process's own, whether it may still come to stand, and whether it certainly will not.
+Writes the stored objects of a new batch job: its content, then the record that names it. The outcome tells the caller what it may promise: whether the record is certainly this process's own, whether it may still appear, and whether it certainly will not.
 */
 import type {Either} from 'purify-ts/Either';
 import {errorOf} from '../../common/error-of.js';
@@ -9,32 +9,32 @@
 import type {ContentStore} from './content-store.js';
 
 /**
-What came of a write. `created`: the record stands, and this write made it. `found`: a record of the job stood already, an earlier try's of this process or another process's. `away`: nothing of the job stands or will. `uncertain`: its record may stand, or come to stand.
+The outcome of a write. `created`: this write created the record. `found`: a record of the job existed already, from an earlier attempt of this process or from another process. `away`: no record of the job exists or will appear. `uncertain`: its record may exist, or appear later.
 */
 export type JobWriteOutcome = 'created' | 'found' | 'away' | 'tooLarge' | 'uncertain';
 
 /** See {@link JobWriteOutcome}. */
 export type JobWriteResult = {
 	readonly outcome: JobWriteOutcome;
-	/** Whether a try went unanswered. The object API may carry it out seconds later, also after the record was removed again. */
+	/** Whether an attempt went unanswered. The object API may carry it out seconds later, even after the record was removed again. */
 	readonly hasUnansweredAttempt: boolean;
 };
 
-/** What writing needs. */
+/** Dependencies of the writer. */
 export type JobWriterParts = {
 	readonly api: ObjectApi;
 	readonly contents: ContentStore;
 	readonly clock: Clock;
 };
 
-/** For how long a write is tried, in milliseconds: callers wait a few seconds, and must have time left to try elsewhere. */
-const writeLimitMs = 1500;
+/** A write is retried for this long, in milliseconds: callers wait a few seconds, and must have time left to try elsewhere. */
+const writeTimeoutMs = 1500;
 
-/** As long as no try can have taken effect, a refusal is certain and may be told sooner, in milliseconds. */
-const certainLimitMs = writeLimitMs / 3;
+/** As long as no attempt can have taken effect, a refusal is certain and may be reported after this shorter time, in milliseconds. */
+const certainTimeoutMs = writeTimeoutMs / 3;
 
-/** Between two tries, in milliseconds. */
-const retryMs = 100;
+/** The delay between two attempts, in milliseconds. */
+const retryDelayMs = 100;
 
 const isFinal = ({kind}: ApiError): boolean => kind === 'conflict' || kind === 'tooLarge';
 
@@ -46,29 +46,29 @@
 		this.#parts = parts;
 	}
 
-	/** The content stands before the record that names it; alone it means nothing. */
+	/** Writes the content before the record that names it; without the record the content has no effect. */
 	async write(record: JobRecord, items: readonly BatchItem[]): Promise<JobWriteResult> {
 		const {api, contents} = this.#parts;
-		const content = await this.#tryFor(async () => contents.write(record.content, {type: 'items', items}));
+		const content = await this.#retry(async () => contents.write(record.content, {type: 'items', items}));
 		if (content.outcome !== 'created') {
 			return {outcome: content.outcome === 'tooLarge' ? 'tooLarge' : 'away', hasUnansweredAttempt: false};
 		}
 
-		return this.#tryFor(async () => api.create('BatchRecord', recordNames.job(record.job), record));
+		return this.#retry(async () => api.create('BatchRecord', recordNames.job(record.job), record));
 	}
 
-	async #tryFor(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWriteResult> {
+	async #retry(write: () => Promise<Either<ApiError, unknown>>): Promise<JobWriteResult> {
 		const {clock} = this.#parts;
 		const startedAt = clock.now();
 		let hasUnansweredAttempt = false;
-		while (clock.now() - startedAt < (hasUnansweredAttempt ? writeLimitMs : certainLimitMs)) {
+		while (clock.now() - startedAt < (hasUnansweredAttempt ? writeTimeoutMs : certainTimeoutMs)) {
 			const err = errorOf(await write());
 			if (!err || isFinal(err)) {
 				return {outcome: finalOutcome(err), hasUnansweredAttempt};
 			}
 
 			hasUnansweredAttempt ||= err.kind === 'unknown';
-			await clock.sleep(retryMs);
+			await clock.sleep(retryDelayMs);
 		}
 
 		return {outcome: hasUnansweredAttempt ? 'uncertain' : 'away', hasUnansweredAttempt};
--- a/src/gateway/batch/result-writer.ts
+++ b/src/gateway/batch/result-writer.ts
@@ -1,5 +1,5 @@
 /**
-Writes the results of one job as pages. A page is created under the next number, never changed: where two processes run a job at once, each believing it is the one, the first to create a page decides, and the other goes on behind it without what stands there already.
+Writes the results of one job as pages. A page is created under the next number and never changed: if two processes have claimed a job at once, the first one to create a page decides, and the other continues after it without the results on that page.
 */
 import type {
 	Clock, Disposable, EventLog, ObjectApi,
@@ -13,7 +13,7 @@
 import {recordNames, type ItemResult, type PageRecord} from './batch-records.js';
 import type {ContentStore} from './content-store.js';
 
-/** What the writer needs. */
+/** Dependencies of the writer. */
 export type ResultWriterParts = {
 	readonly api: ObjectApi;
 	readonly feed: ObjectFeed;
@@ -24,20 +24,20 @@
 };
 
 /**
-Results are gathered for this share of the time that is left until they are due, within these bounds in milliseconds. Each page costs two calls of the object API, and the items of a job end within a second or two of each other; readers ask about twice a second, and nobody waits for a result as long as it comes well before its time.
+Results are gathered for this share of the time that is left until they are due, within these bounds in milliseconds. Each page costs two calls of the object API, and the items of a job end within a second or two of each other; readers poll about twice a second, and nobody waits for a result that comes well before its due time.
 */
 const gatherShare = 0.1;
-const leastGatherMs = 200;
-const mostGatherMs = 800;
+const minGatherMs = 200;
+const maxGatherMs = 800;
 
-/** After a page that could not be written, in milliseconds. */
-const retryMs = 200;
+/** The delay after a page that could not be written, in milliseconds. */
+const retryDelayMs = 200;
 
-/** A page holds no more than this, in bytes of output, and one result at least; the object API's limit is a megabyte with all names and escapes. */
+/** The maximum size of a page, in bytes of output; it holds one result at least. The object API's limit is a megabyte including all names and escapes. */
 const maxPageBytes = 600_000;
 
-/** Until a page that was written comes back with the feed, in milliseconds; then it is asked for. */
-const feedPatienceMs = 400;
+/** A page that was written is received with the feed within this time, in milliseconds; after it the page is read explicitly. */
+const feedTimeoutMs = 400;
 
 /** See the module's head. */
 export class ResultWriter implements Disposable {
@@ -46,13 +46,13 @@
 	readonly #dueAt: (job: BatchJob) => number;
 	readonly #pending = new Map<BatchItemId, ItemResult>();
 	#writing: Promise<void> | undefined;
-	#written: {readonly key: string; readonly name: string} | undefined;
+	#lastContent: {readonly key: string; readonly name: string} | undefined;
 	#endGathering: (() => void) | undefined;
 	#isDisposed = false;
-	#isHurried = false;
+	#isFlushing = false;
 
 	/**
-	@param job - The job as the book has it now.
+	@param job - Returns the current state of the job in the index.
 	@param dueAt - When a job's results are due, in milliseconds of the wall clock.
 	*/
 	constructor(parts: ResultWriterParts, job: () => BatchJob | undefined, dueAt: (job: BatchJob) => number) {
@@ -61,77 +61,77 @@
 		this.#dueAt = dueAt;
 	}
 
-	/** Whether an item has a result that is not listed yet. */
+	/** Whether an item has a result that is not committed yet. */
 	has(item: BatchItemId): boolean {
 		return this.#pending.has(item);
 	}
 
-	/** Results that are not listed yet. */
+	/** Results that are not committed yet. */
 	get pending(): ItemResult[] {
 		return [...this.#pending.values()];
 	}
 
-	/** Takes a result; it is written soon. */
+	/** Adds a result, which will be written soon. */
 	add(result: ItemResult): void {
 		this.#pending.set(result.id, result);
-		if (this.#isLast()) {
+		if (this.#isGatheringOver()) {
 			this.#endGathering?.();
 		}
 
 		this.#writing ??= this.#writeAll();
 	}
 
-	/** Writes what is there without gathering more. Resolves when all is written, or after the time. */
+	/** Writes the pending results without gathering more. Resolves when all are written, or after the time limit. */
 	async flush(limitMs: number): Promise<void> {
-		this.#isHurried = true;
+		this.#isFlushing = true;
 		this.#endGathering?.();
 		await Promise.race([this.#writing, this.#parts.clock.sleep(limitMs)]);
 	}
 
-	/** Writes no more. */
+	/** Stops writing. */
 	dispose(): void {
 		this.#isDisposed = true;
 	}
 
 	async #writeAll() {
 		const {clock} = this.#parts;
-		if (!this.#isLast()) {
+		if (!this.#isGatheringOver()) {
 			await this.#gather();
 		}
 
-		while (!this.#isDisposed && this.#dropListed()) {
+		while (!this.#isDisposed && this.#removeCommitted()) {
 			const isWritten = await this.#writePage();
 			if (!isWritten && !this.#isDisposed) {
-				await clock.sleep(retryMs);
+				await clock.sleep(retryDelayMs);
 			}
 		}
 
 		this.#writing = undefined;
 	}
 
-	/** Ends early when no further result will come. */
+	/** Waits for more results. Ends early if no further result will come. */
 	async #gather() {
-		const isLast = new Promise<void>(resolve => {
+		const gatheringOver = new Promise<void>(resolve => {
 			this.#endGathering = resolve;
 		});
-		await Promise.race([isLast, this.#parts.clock.sleep(this.#gatherMs())]);
+		await Promise.race([gatheringOver, this.#parts.clock.sleep(this.#gatherMs())]);
 		this.#endGathering = undefined;
 	}
 
 	#gatherMs(): number {
 		const job = this.#job();
-		const leftMs = job ? this.#dueAt(job) - this.#parts.clock.wall() : 0;
-		return Math.min(mostGatherMs, Math.max(leastGatherMs, leftMs * gatherShare));
+		const remainingMs = job ? this.#dueAt(job) - this.#parts.clock.wall() : 0;
+		return Math.min(maxGatherMs, Math.max(minGatherMs, remainingMs * gatherShare));
 	}
 
-	/** Nothing is gained by gathering when no further result will come. */
-	#isLast(): boolean {
+	/** Whether nothing is gained by gathering, since no further result will come or the process shuts down. */
+	#isGatheringOver(): boolean {
 		const job = this.#job();
-		return this.#isHurried || (job !== undefined && job.results.length + this.#pending.size >= job.record.items.length);
+		return this.#isFlushing || (job !== undefined && job.results.length + this.#pending.size >= job.record.items.length);
 	}
 
 	/** @returns Whether anything is left to write. */
-	#dropListed(): boolean {
+	#removeCommitted(): boolean {
 		const job = this.#job();
 		if (!job?.isOpen) {
 			this.#pending.clear();
@@ -145,14 +145,14 @@
 	}
 
 	async #writePage(): Promise<boolean> {
-		const {api, feed, jobIndex: book, log} = this.#parts;
+		const {api, feed, jobIndex, log} = this.#parts;
 		const job = this.#job();
 		if (!job) {
 			return true;
 		}
 
 		if (job.isHeld) {
-			// Other processes would not know what the page belongs to, and would leave it out.
+			// Other processes do not have the job yet, and would ignore the page.
 			return false;
 		}
 
@@ -174,17 +174,17 @@
 			return false;
 		}
 
-		const isBack = () => (this.#job()?.pageCount ?? Infinity) > page.number;
-		await book.waitUntil(job.id, isBack, feedPatienceMs);
-		return feed.ensureLoaded(isBack);
+		const isReceived = () => (this.#job()?.pageCount ?? Infinity) > page.number;
+		await jobIndex.waitUntil(job.id, isReceived, feedTimeoutMs);
+		return feed.ensureLoaded(isReceived);
 	}
 
-	/** @returns Its name; nothing when it could not be written. Results that were written before are not written again. */
+	/** @returns The name of the content, or nothing if it could not be written. Results that were written before are not written again. */
 	async #writeContent(job: BatchJobId, results: readonly ItemResult[]): Promise<string | undefined> {
 		const {contents} = this.#parts;
 		const key = results.map(({id}) => id).join(' ');
-		if (this.#written?.key === key) {
-			return this.#written.name;
+		if (this.#lastContent?.key === key) {
+			return this.#lastContent.name;
 		}
 
 		const name = contents.newName(job);
@@ -193,7 +193,7 @@
 			return undefined;
 		}
 
-		this.#written = {key, name};
+		this.#lastContent = {key, name};
 		return name;
 	}
 
--- a/src/gateway/batch/slot-finder.steps.ts
+++ b/src/gateway/batch/slot-finder.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the places that a process takes, on the tables alone and in time that the steps set.
+Steps for the slots that a process takes, on tables in memory and a clock that the steps set.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -37,13 +37,13 @@
 	return directory.get(branded<ReplicaId>(id))!;
 };
 
-const tell = ({peers}: FinderWorld, member: string, waiting: readonly SharedWaiting[] | undefined) => {
+const announce = ({peers}: FinderWorld, member: string, waiting: readonly SharedWaiting[] | undefined) => {
 	peers.receive({
 		member: branded<MemberName>(member), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq: 1, isLeaving: false, loads: [], jobs: [], waiting,
 	});
 };
 
-Given('a replica of {int} places with {int} calls, and one of {int} places without any', function (this: FinderWorld, slots: number, online: number, otherSlots: number) {
+Given('a replica of {int} slots with {int} calls, and one of {int} slots without any', function (this: FinderWorld, slots: number, online: number, otherSlots: number) {
 	this.now = 0;
 	const clock: Clock = {now: () => this.now, wall: () => this.now, sleep: async () => undefined};
 	const directory = new ReplicaDirectory();
@@ -57,44 +57,44 @@
 	});
 });
 
-Given('peer {string} tells of {int} timely and {int} late items', function (this: FinderWorld, member: string, timely: number, late: number) {
-	tell(this, member, [{route: route.name, timely, late}]);
+Given('peer {string} announces {int} timely and {int} late items', function (this: FinderWorld, member: string, timely: number, late: number) {
+	announce(this, member, [{route: route.name, timely, late}]);
 });
 
-Given('peer {string} tells of {int} timely and {int} late items of another route', function (this: FinderWorld, member: string, timely: number, late: number) {
-	tell(this, member, [{route: 'digests', timely, late}]);
+Given('peer {string} announces {int} timely and {int} late items of another route', function (this: FinderWorld, member: string, timely: number, late: number) {
+	announce(this, member, [{route: 'digests', timely, late}]);
 });
 
-Given('peer {string} tells nothing of its items', function (this: FinderWorld, member: string) {
-	tell(this, member, undefined);
+Given('peer {string} announces nothing about its items', function (this: FinderWorld, member: string) {
+	announce(this, member, undefined);
 });
 
-const lookMs = 250;
+const checkIntervalMs = 250;
 
-Given('it has been silent for {int} seconds', function (this: FinderWorld, seconds: number) {
-	// A front looks for silent peers several times a second; a longer time without a look is a pause of its own.
-	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += lookMs) {
-		this.now += lookMs;
+Given('it has been unresponsive for {int} seconds', function (this: FinderWorld, seconds: number) {
+	// A front checks for unresponsive peers several times a second; a longer time without a check counts as a pause of the front itself.
+	for (let passedMs = 0; passedMs < 1000 * seconds; passedMs += checkIntervalMs) {
+		this.now += checkIntervalMs;
 		this.peers.removeUnresponsive();
 	}
 });
 
-const look = (world: FinderWorld, {items, dueInMs, times}: {items: number; dueInMs: number; times: number}) => {
-	const seeker: SlotRequest = {
+const requestSlots = (world: FinderWorld, {items, dueInMs, times}: {items: number; dueInMs: number; times: number}) => {
+	const request: SlotRequest = {
 		route, dueAt: world.now + dueInMs, events: 0, failedReplicas: new Set(), needsNewConnection: false,
 	};
-	const own = countWaiting(Array.from({length: items}, () => seeker), initialRunEstimate, world.now);
-	world.taken = Array.from({length: times}, () => world.finder.allowance(seeker, own, initialRunEstimate)).reduce((sum, places) => sum + places, 0) / times;
+	const own = countWaiting(Array.from({length: items}, () => request), initialRunEstimate, world.now);
+	world.taken = Array.from({length: times}, () => world.finder.slotAllowance(request, own, initialRunEstimate)).reduce((sum, slots) => sum + slots, 0) / times;
 };
 
-When('{int} items that are late look for places {int} times', function (this: FinderWorld, items: number, times: number) {
-	look(this, {items, dueInMs: -1000, times});
+When('{int} late items request slots {int} times', function (this: FinderWorld, items: number, times: number) {
+	requestSlots(this, {items, dueInMs: -1000, times});
 });
 
-When('{int} items that are due in {int} seconds look for places {int} times', function (this: FinderWorld, items: number, seconds: number, times: number) {
-	look(this, {items, dueInMs: 1000 * seconds, times});
+When('{int} items that are due in {int} seconds request slots {int} times', function (this: FinderWorld, items: number, seconds: number, times: number) {
+	requestSlots(this, {items, dueInMs: 1000 * seconds, times});
 });
 
-Then('they may take {float} places at a time, on the mean', function (this: FinderWorld, places: number) {
-	assert.ok(Math.abs(this.taken - places) <= 0.1, String(this.taken));
+Then('they may take {float} slots at a time on average', function (this: FinderWorld, slots: number) {
+	assert.ok(Math.abs(this.taken - slots) <= 0.1, String(this.taken));
 });
--- a/src/gateway/keeping/held-jobs.steps.ts
+++ b/src/gateway/keeping/held-jobs.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the jobs that keepers hold, on a folder of their own and an object API in memory.
+Steps for the jobs that keepers hold, on a temporary folder and an object API in memory.
 */
 import assert from 'node:assert/strict';
 import {
@@ -57,7 +57,7 @@
 
 const recordOf = ({api}: HoldingWorld, job: string): JobRecord | undefined => api.all<JobRecord>('BatchRecord').find(({name}) => name === recordNames.job(jobId(job)))?.value;
 
-const open = async (world: HoldingWorld) => {
+const setUp = async (world: HoldingWorld) => {
 	world.folder = await mkdtemp(path.join(tmpdir(), 'held-jobs-'));
 	world.register(async () => rm(world.folder, {recursive: true, force: true}));
 	world.api = new FakeObjectApi();
@@ -69,7 +69,7 @@
 };
 
 Given('a keeper\'s jobs, and a record of {string} by another front that {word} it( too large)', async function (this: HoldingWorld, job: string, judgement: string) {
-	await open(this);
+	await setUp(this);
 	await this.api.create('BatchRecord', recordNames.job(jobId(job)), record(job, 'foreign', judgement === 'accepted'));
 });
 
@@ -81,18 +81,18 @@
 });
 
 Given('a keeper\'s disk that is full for {string}', async function (this: HoldingWorld, job: string) {
-	await open(this);
+	await setUp(this);
 	await symlink('/dev/full', path.join(this.folder, 'jobs', `held-${job}.json`));
 });
 
-Given('a keeper\'s disk that is gone', async function (this: HoldingWorld) {
-	await open(this);
+Given('a keeper\'s disk that has failed', async function (this: HoldingWorld) {
+	await setUp(this);
 	await rm(path.join(this.folder, 'jobs'), {recursive: true});
 	await writeFile(path.join(this.folder, 'jobs'), '');
 });
 
-Given('a keeper whose object API answers nothing for a while', async function (this: HoldingWorld) {
-	await open(this);
+Given('a keeper whose object API is unavailable for a while', async function (this: HoldingWorld) {
+	await setUp(this);
 	const settings = keeperSettingsSchema.parse({
 		name: keeperName, failureDomain: 'hall', peerListen: '127.0.0.1:0', dataDir: this.folder, objectApi: {address: '127.0.0.1:1'},
 	});
@@ -103,8 +103,8 @@
 	await this.keeper.start();
 });
 
-When('operators wish the keeper\'s VM to be emptied', async function (this: HoldingWorld) {
-	await until(() => this.api.calls.watch > 0, 'the keeper follows the wishes');
+When('operators request that the keeper\'s VM be emptied', async function (this: HoldingWorld) {
+	await until(() => this.api.calls.watch > 0, 'the keeper watches the retirements');
 	const update = this.api.update.bind(this.api);
 	this.api.update = async (kind, name, value, version) => {
 		this.api.down = kind === 'Retirement';
@@ -124,21 +124,21 @@
 	assert.equal(answered.unsafeCoerce(), 'refused');
 });
 
-Then('the wish is answered once the object API is back', async function (this: HoldingWorld) {
-	await until(() => (this.api.all<{state?: string}>('Retirement')[0]?.value.state) === 'done', 'the wish is answered');
+Then('the request is answered once the object API is available again', async function (this: HoldingWorld) {
+	await until(() => (this.api.all<{state?: string}>('Retirement')[0]?.value.state) === 'done', 'the request is answered');
 });
 
 When('the keeper holds {string}', async function (this: HoldingWorld, job: string) {
 	this.answer = await this.jobs.hold(heldJob(job));
 });
 
-When('the other front takes its record back', async function (this: HoldingWorld) {
+When('the other front removes its record', async function (this: HoldingWorld) {
 	await this.api.remove('BatchRecord', recordNames.job(jobId('a')));
 });
 
-Then('{string} is still held, and the other record stands', async function (this: HoldingWorld, job: string) {
+Then('{string} is still held, and the other record exists', async function (this: HoldingWorld, job: string) {
 	const before = this.api.calls.get;
-	await until(() => this.api.calls.get > before, 'the keeper has looked at the record');
+	await until(() => this.api.calls.get > before, 'the keeper has read the record');
 	assert.equal(this.jobs.size, 1);
 	assert.equal(recordOf(this, job)?.content, `foreign-${job}`);
 });
@@ -146,8 +146,8 @@
 const assertWriter = async (world: HoldingWorld, job: string, writer: string) => {
 	await until(() => world.jobs.size === 0, 'nothing is held');
 	assert.equal(recordOf(world, job)?.content, `${writer}-${job}`);
-	const left = await world.journal.load();
-	assert.equal(left.length, 0);
+	const remaining = await world.journal.load();
+	assert.equal(remaining.length, 0);
 };
 
 Then('the record of {string} is the keeper\'s, and nothing is held any more', async function (this: HoldingWorld, job: string) {
@@ -159,13 +159,13 @@
 });
 
 Then('the record of {string} is the keeper\'s', async function (this: HoldingWorld, job: string) {
-	await until(() => recordOf(this, job)?.content === `held-${job}`, 'the job stands');
+	await until(() => recordOf(this, job)?.content === `held-${job}`, 'the record exists');
 });
 
 Then('the answer is {string}, and the disk holds no job', async function (this: HoldingWorld, answer: HoldAnswer) {
 	assert.equal(this.answer, answer);
-	const left = await this.journal.load();
-	assert.equal(left.length, 0);
+	const remaining = await this.journal.load();
+	assert.equal(remaining.length, 0);
 });
 
 Then('the answer is {string}', function (this: HoldingWorld, answer: HoldAnswer) {
