--- a/src/gateway/object-api-reachability.ts
+++ b/src/gateway/object-api-reachability.ts
@@ -1,20 +1,20 @@
 /**
-Tells when the object API answers this process, whichever of its calls it is. One call says little of when an outage ended: it may have been asked late, or have been lost for a reason of its own.
+Reports when the object API answers this process, on any of its calls. A single call is a poor indicator of when an outage ended: it may have been sent late, or may have failed for an unrelated reason.
 */
 
 /** An answer of the object API. */
 export type ObjectApiAnswer = {
-	/** In milliseconds on the monotonic clock. */
+	/** Milliseconds on the monotonic clock. */
 	readonly at: number;
-	/** Milliseconds since the answer before it; `Infinity` for the first one. */
+	/** Milliseconds since the previous answer; `Infinity` for the first one. */
 	readonly silentMs: number;
-	/** When the last call began that the object API itself failed to answer since the answer before; it may have been back from then on. Watches do not count, as they begin long before they fail. `undefined`: none failed. */
+	/** Start of the last call that the object API itself failed to answer since the previous answer; the object API may have been reachable from then on. Watches are excluded, because they start long before they fail. `undefined` if no call failed. */
 	readonly failedCallAt: number | undefined;
 };
 
-/** See the module's head. */
+/** A source of the object API's answers to this process. */
 export type ObjectApiReachability = {
-	/** While the object API does not answer: when the last call to it began that has failed, in milliseconds on the monotonic clock. `undefined` while it answers. */
+	/** While the object API does not answer: start of the last call to it that failed, in milliseconds on the monotonic clock. `undefined` while it answers. */
 	readonly lastFailedCallAt: number | undefined;
 	/** Calls the listener with each answer. */
 	onAnswer(listener: (answer: ObjectApiAnswer) => void): void;
--- a/src/gateway/object-feed.ts
+++ b/src/gateway/object-feed.ts
@@ -1,7 +1,7 @@
 /**
-Follows one kind of object: a list, then watches from its version on, for ever. Events arrive in the order of their versions, each once, also where the list or an extra read overtakes a watch that is waiting.
+Follows the objects of one kind: a list, then consecutive watches from the list's version. Events are delivered once each and in the order of their versions, even if a list or an additional read overtakes a pending watch.
 
-A watch is asked for again well before the time within which a change must be in force: a connection that went silent shows only by the answer that does not come. After a call that failed, the next one does not wait for a change: an outage would otherwise seem to last until the first change after it, and whoever counts from its end would take that change for a part of it.
+A watch is renewed well before the time within which a change must be in force, because an unresponsive connection shows only by a missing answer. After a failed call, the next watch does not wait for a change. Otherwise an outage would appear to last until the first change after it, and a deadline counted from the end of the outage would count that change as part of it.
 */
 import {EventEmitter} from 'node:events';
 import type {Revision} from '../common/ids.js';
@@ -15,46 +15,46 @@
 import type {ObjectApiAnswer, ObjectApiReachability} from './object-api-reachability.js';
 import type {ReadProgress} from './read-progress.js';
 
-/** What a feed needs. */
+/** Dependencies of a feed. */
 export type FeedParts = {
 	readonly api: ObjectApi;
-	/** Answers to all calls of this process; without it, a feed knows of those to its own only. */
+	/** Answers to all calls of this process; without it, a feed uses only the answers to its own calls. */
 	readonly reachability?: ObjectApiReachability;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** Tells when a watch was answered at the earliest; without it, that is when it was asked. */
+	/** Gives the earliest time at which a watch can have been answered; without it, the time at which the watch was sent is used. */
 	readonly progress?: Pick<ReadProgress, 'readUntil'>;
 };
 
-/** How a feed asks. */
+/** How a feed reads. */
 export type FeedOptions = {
-	/** Milliseconds that one watch waits. */
+	/** Milliseconds that one watch waits for a change. */
 	readonly waitMs: number;
-	/** Whether watches may be answered by a copy that lags. Lists and `sync` never are. */
+	/** Whether watches may be answered by a lagging copy. Lists and `sync` never are. */
 	readonly mayLag: boolean;
-	/** Milliseconds to wait after changes before the next watch, so that many changes come with one call; 0 by default. */
+	/** Milliseconds to wait after changes before the next watch, so that one call returns many changes; 0 by default. */
 	readonly paceMs?: number;
-	/** While changes go on, as when a fleet starts, the pause grows to this, in milliseconds; it does not by default. */
+	/** Milliseconds to which that pause grows while changes continue, for example when a fleet starts; constant by default. */
 	readonly maxPaceMs?: number;
 };
 
-/** After a failed call, milliseconds until the next: an outage of the object API must not be prolonged by those who wait for its end, and a change must be in force within about two seconds of it. */
+/** Delay after a failed call, in milliseconds. Retries must not prolong an outage of the object API, and a change must be in force within about two seconds of its end. */
 const retryMs = 200;
 
-/** A read of the latest changes takes some milliseconds, and some hundred where the object API is slow; one that takes longer hangs with the watches. */
+/** A read of the latest changes takes some milliseconds, and some hundred when the object API is slow; one that takes longer is stuck, as the watches are. */
 const syncPatienceMs = 250;
 
-/** An outage must last for at least this long for an object to lapse, in milliseconds: its writer must have missed two heartbeats of 1.2 s. A shorter gap between answers does not begin another outage. */
+/** Shortest outage in which an object can expire, in milliseconds: its writer must have missed two heartbeats of 1.2 s. A shorter gap between answers does not start another outage. */
 const leastLapseMs = 2000;
 
-/** The version of the last change of a batch. A removed object may bear the version of its last change before that. */
+/** The version of the last change of a batch. A removed object may carry the version of the change before its removal. */
 const lastChangeOf = (events: readonly WatchEvent[], answeredAt: Revision): Revision =>
 	events.some(({type}) => type === 'delete') ? answeredAt : Math.max(...events.map(({version}) => version)) as Revision;
 
-/** A change that comes so much later than the one before does not go on from it, in milliseconds. */
+/** Changes further apart than this do not belong to one burst, in milliseconds. */
 const calmMs = 1000;
 
-/** See the module's head. */
+/** Caches the version and the times of one kind of object, and emits its lists and changes. */
 export class ObjectFeed implements Disposable {
 	readonly #parts: FeedParts;
 	readonly #kind: ObjectKind;
@@ -65,7 +65,7 @@
 	#isWaiting = false;
 	#isDisposed = false;
 	#lostAt: number | undefined;
-	/** The object API's first answer to any call again within the outage under way. */
+	/** The first answer of the object API, to any call, during the current outage of this feed. */
 	#answer: ObjectApiAnswer | undefined;
 	#regainedAt = -Infinity;
 	#failedCallAt: number | undefined;
@@ -87,75 +87,75 @@
 		});
 	}
 
-	/** Up to where the objects are known; nothing before the first list. */
+	/** Version up to which the objects have been read; `undefined` before the first list. */
 	get revision(): Revision | undefined {
 		return this.#revision;
 	}
 
-	/** No change of this kind that is known came after this version, and the last one not long before it. */
+	/** A version not lower than that of any change received, and close to that of the last one. */
 	get changedAt(): Revision | undefined {
 		return this.#changedAt;
 	}
 
-	/** Whether a watch waits for a change; otherwise the next call is about to be made. */
+	/** Whether a watch is waiting for a change; otherwise the next call is about to be sent. */
 	get isWatching(): boolean {
 		return this.#isWaiting;
 	}
 
-	/** Whether the last call failed, and none has succeeded since. */
+	/** Whether a call failed and none has succeeded since. */
 	get isUnreachable(): boolean {
 		return this.#lostAt !== undefined;
 	}
 
-	/** When the last outage ended, in milliseconds on the monotonic clock: with the first answer to any call of this process, which may be earlier than this feed's own. `undefined` until this feed is answered. */
+	/** End of the last outage, in milliseconds on the monotonic clock: the first answer to any call of this process, which may precede this feed's own. `undefined` until this feed receives an answer. */
 	get outageEndedAt(): number | undefined {
 		return this.#lostAt === undefined ? this.#regainedAt : undefined;
 	}
 
-	/** When the last call began that failed before the end of the last outage, in milliseconds on the monotonic clock: the outage may have ended then already. `undefined` where that is not known, and until this feed is answered. */
+	/** Start of the last call that failed before the end of the last outage, in milliseconds on the monotonic clock: the outage may have ended at that time already. `undefined` if unknown, and until this feed receives an answer. */
 	get failedCallAt(): number | undefined {
 		return this.#lostAt === undefined ? this.#failedCallAt : undefined;
 	}
 
-	/** When the object API last answered, be it with a copy that lags; milliseconds on the monotonic clock. */
+	/** Time of the last answer, including answers of a lagging copy; milliseconds on the monotonic clock. */
 	get heardAt(): number {
 		return this.#heardAt;
 	}
 
-	/** What had changed by then is known, in milliseconds on the monotonic clock. An answer that was read late, after a pause of this process, does not count as of then. */
+	/** All changes made before this time have been received; milliseconds on the monotonic clock. An answer that was read late, after a pause of this process, counts from the time at which it can have arrived at the earliest. */
 	get currentAsOf(): number {
 		return this.#knownAt;
 	}
 
-	/** Calls that failed in a row in the last outage, or so far in this one. */
+	/** Number of consecutive failed calls in the last or current outage. */
 	get lastOutageFailures(): number {
 		return this.#failures;
 	}
 
-	/** Calls the listener with all objects there are, after a list. What it does not hold is gone. */
+	/** Calls the listener with all existing objects after a list. Objects that it does not contain have been removed. */
 	onSnapshot(listener: (items: readonly StoredObject[]) => void): void {
 		this.#events.on('snapshot', listener);
 	}
 
-	/** Calls the listener with changes, in the order of their versions. */
+	/** Calls the listener with the changes, in the order of their versions. */
 	onChanges(listener: (events: readonly WatchEvent[]) => void): void {
 		this.#events.on('changes', listener);
 	}
 
-	/** Calls the listener with the time of each answer, in milliseconds on the monotonic clock; also of those that bring nothing new. */
+	/** Calls the listener with the time of each answer, in milliseconds on the monotonic clock, including answers without changes. */
 	onAnswer(listener: (at: number) => void): void {
 		this.#events.on('heard', listener);
 	}
 
-	/** Follows until it is disposed. */
+	/** Lists and watches until the feed is disposed. */
 	start(): void {
 		void this.#follow();
 	}
 
 	/**
-	Reads what has changed until now, from the object API itself. Callers that ask while a read is under way share the next one, since the one under way may have been answered before their question came up.
+	Reads all changes up to now, from the object API itself. Callers that arrive during a read share the next one, because the current one may have been answered before they called.
 
-	@returns Whether all is known that had changed when this was called.
+	@returns Whether all changes made before the call have been received.
 	*/
 	async sync(): Promise<boolean> {
 		this.#nextSync ??= this.#syncAfter(this.#currentSync);
@@ -163,19 +163,19 @@
 	}
 
 	/**
-	Reads what has changed until now on a connection of its own, without waiting for another read.
+	Reads all changes up to now on a new connection, without waiting for another read.
 
-	@returns Whether all is known that had changed when this was called.
+	@returns Whether all changes made before the call have been received.
 	*/
 	async syncOnNewConnection(): Promise<boolean> {
 		return this.#readOnce({isFresh: true});
 	}
 
 	/**
-	Brings objects that are known to stand in the object API. Watches may hear nothing of them for a while, around the time at which the object API discards its history; a list always shows them.
+	Reads until objects that exist in the object API are cached. Watches may miss them for a while, around the time at which the object API discards its history; a list always returns them.
 
-	@param isThere - Whether they have come.
-	@returns Whether they have.
+	@param isThere - Whether the objects are cached.
+	@returns Whether they are cached after the reads.
 	*/
 	async ensureLoaded(isThere: () => boolean): Promise<boolean> {
 		if (!isThere()) {
@@ -242,7 +242,7 @@
 		});
 	}
 
-	/** History that is gone is read anew by a list; every other failure keeps what is known. */
+	/** Discarded history is replaced by a new list; any other failure leaves the cached state as it is. */
 	#isKnownAfter(err: ApiError): boolean {
 		if (err.kind === 'expired') {
 			this.#revision = undefined;
@@ -267,7 +267,7 @@
 
 			const {items: found, more, version: listedAt} = page.unsafeCoerce();
 			items.push(...found);
-			// Later pages are read later: what changed between them is seen again by a watch from the first.
+			// Later pages are read later. Changes made in between are received by a watch from the version of the first page.
 			version ??= listedAt;
 			after = more ? found.at(-1)?.name : undefined;
 		} while (after !== undefined);
@@ -284,10 +284,10 @@
 	}
 
 	/**
-	An answer that another has overtaken is left out: what it holds beyond the other comes again with the next watch, and a removal in it could undo a later creation under the same name.
+	Ignores an answer that another one has overtaken: its further changes are returned by the next watch, and a removal in it could undo a later creation under the same name.
 
-	@param knownAt - When it was answered at the earliest, in milliseconds on the monotonic clock.
-	@returns Whether it was in time.
+	@param knownAt - Earliest time at which the answer can have been given, in milliseconds on the monotonic clock.
+	@returns Whether the state covers the answer.
 	*/
 	#apply({events, version}: WatchBatch, since: Revision, knownAt: number): boolean {
 		this.#noteAnswer();
--- a/src/gateway/online-call.ts
+++ b/src/gateway/online-call.ts
@@ -1,7 +1,7 @@
 /**
-One caller's call from its arrival to its final answer: which replicas it is sent to, what is passed on, and what the caller is told when no replica answers.
+One caller's call from its arrival to its final answer: the replicas that it is sent to, the bytes that are forwarded, and the gateway's own answer if no replica answers.
 
-The answers of the gateway itself keep to what is known. 503 is given only while no replica can have run the call; once one may have, the caller hears 502, or 504 when the time is up, and where part of an answer has been passed on, the connection is cut, so that it cannot be taken for whole.
+The gateway answers 503 only if no replica can have run the call. Once a replica may have run it, the answer is 502, or 504 when the time is up. Once part of an answer has been forwarded, the connection is closed instead, so that the caller cannot mistake the answer for a complete one.
 */
 import type {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
@@ -23,34 +23,34 @@
 	CallFields, GatewayRoute, GatewayServiceName, ReplicaId, RouteKind,
 } from './types.js';
 
-/** A caller's call that has arrived whole. */
+/** A caller's call that has been received completely. */
 export type ArrivedCall = {
 	readonly route: GatewayRoute;
 	readonly caller: AdmittedCaller;
 	readonly fields: CallFields;
 	readonly message: CallMessage;
-	/** When its head had come, in milliseconds on the monotonic clock. */
+	/** When its head had been received, in milliseconds on the monotonic clock. */
 	readonly arrivedAt: number;
 	readonly res: ServerResponse;
 };
 
-/** Without a byte for this long, a call that may be repeated is sent elsewhere, in milliseconds. A queue at an engine clears within about one run, 0.8 s; callers give a stream up after 2 s. */
+/** A repeatable call is sent to another replica if no byte arrives for this long, in milliseconds. A queue at an engine clears within about one run, 0.8 s; callers abandon a stream after 2 s. */
 const repeatableSilenceMs = 1200;
 
-/** Replicas that one call is offered to while each declines or cannot be reached. */
+/** Maximum number of replicas that one call is offered to while each declines it or cannot be reached. */
 const maxOffers = 4;
 
-/** With less time left than this, in milliseconds, no replica is asked: the answer could not reach the caller. */
+/** With less time left than this, in milliseconds, the call is offered to no replica: the answer could not reach the caller in time. */
 const leastTimeMs = 10;
 
-/** When to come back, in milliseconds: after a replica may have been registered, or after places may have become free. */
+/** Delays after which a caller is to retry, in milliseconds: by then, a replica may have been registered, or slots may have become free. */
 const comeBackMs = {noReplica: 500, full: 300} as const;
 
-/** Why a call is offered to no replica, or to no other one. */
+/** Why a call is offered to no further replica. */
 type GiveUpReason = 'noReplica' | 'full' | 'quarantined';
 
 type Pass = {
-	/** Whether another run may follow one that broke. */
+	/** Whether a broken run may be followed by another one. */
 	readonly isRepeatable: (route: GatewayRoute) => boolean;
 	/** Whether the answer is a series of events. */
 	readonly isStream: boolean;
@@ -65,7 +65,7 @@
 
 type EndHandlers = {readonly [K in AttemptEnd['kind']]: (end: Extract<AttemptEnd, {kind: K}>, replica: Replica) => void};
 
-/** See the module's head. */
+/** A call under way. */
 export class OnlineCall implements Disposable {
 	readonly #parts: GatewayParts;
 	readonly #call: ArrivedCall;
@@ -77,23 +77,23 @@
 	readonly #timer: NodeJS.Timeout;
 	readonly #timeLimitMs: number;
 	#attempt: Attempt | undefined;
-	/** The head of the run under way, once it has come. */
+	/** Head of the current run's answer, once received. */
 	#runHead: AnswerHead | undefined;
-	/** The event after which the run under way was asked to go on. */
+	/** The event after which the current run was asked to resume. */
 	#resumeAfter: number | undefined;
 	#giveBackPlace: (() => void) | undefined;
 	#offers = 0;
-	/** Runs that count towards the route's limit. */
+	/** Number of runs that count towards the route's limit. */
 	#runs = 0;
-	/** Whether any replica may have begun to run the call. */
+	/** Whether any replica may have started to run the call. */
 	#mayHaveRun = false;
 	#isOver = false;
 	#firstByteMs = 0;
 	#sentAt = 0;
-	/** Whether the replica that has the call had a free place when it was sent. */
+	/** Whether the call's replica had a free slot when the call was sent. */
 	#hasFoundPlace = false;
 	#lastEnd: AttemptEnd['kind'] | undefined;
-	/** Whether a connection of the call got no byte: other kept ones may be as silent, also those to other replicas. */
+	/** Whether a connection of the call was unresponsive: other kept-alive connections may be too, even those to other replicas. */
 	#hasMetSilence = false;
 
 	readonly #onAttemptEnd: EndHandlers = {
@@ -109,7 +109,7 @@
 			this.#offer();
 		},
 		misdirected: (_end, replica) => {
-			// The registration has not caught up: the replica is gone, and its address belongs to another.
+			// The registration is outdated: the replica has been removed, and its address belongs to another one.
 			replica.noteFailure(this.#parts.clock.now());
 			this.#offer();
 		},
@@ -150,7 +150,7 @@
 		this.#service = this.#chooseService(route);
 		this.#timeLimitMs = Math.min(route.timeoutMs, fields.timeLeftMs ?? Infinity);
 		this.#timer = setTimeout(() => {
-			// An answer that came within a pause of this process is read first.
+			// An answer that arrived during a pause of this process is read first.
 			setImmediate(() => {
 				this.#timeOut();
 			});
@@ -160,7 +160,7 @@
 		});
 	}
 
-	/** Sends the call to its first replica; one that cannot get a place in its time is refused at once. */
+	/** Sends the call to its first replica. A call that cannot get a slot in time is refused at once. */
 	start(): void {
 		const {ranks, serviceTimes, directory} = this.#parts;
 		const rank = this.#call.caller.account?.priority ?? this.#call.route.priority;
@@ -175,7 +175,7 @@
 		this.#offer();
 	}
 
-	/** Ends the call at once; nobody is told. */
+	/** Ends the call at once, without an answer or a log line. */
 	dispose(): void {
 		this.#close();
 	}
@@ -190,7 +190,7 @@
 		return (chosen ?? targets[0])?.service ?? ('' as GatewayServiceName);
 	}
 
-	/** 0 before the run under way has answered. */
+	/** 0 until the current run has answered. */
 	get #runStatus(): number {
 		return this.#runHead?.status ?? 0;
 	}
@@ -325,7 +325,7 @@
 		replica.outcomes.note(hasFailed, this.#parts.clock.now());
 	}
 
-	/** A call under which a replica has ended before goes on only once it is known whether another one has: it may be what ends them. All others lose no time. */
+	/** A call during which a replica has terminated before is rerun only after it is known whether this replica has terminated too, since the call may be the cause. Other calls are rerun without delay. */
 	async #afterLoss(replica: Replica) {
 		const isNoted = this.#content.noteConnectionLost(replica);
 		if (this.#content.isSuspected) {
@@ -337,7 +337,7 @@
 		}
 	}
 
-	/** The replica may have run the call, and its answer is not whole. */
+	/** The replica may have run the call, and its answer is incomplete. */
 	#afterBreak(replica: Replica, reason = 'the replica broke off') {
 		this.#mayHaveRun = true;
 		this.#countRun(replica);
@@ -350,7 +350,7 @@
 		this.#fail(reason);
 	}
 
-	/** Runs at replicas that ended meanwhile do not use up the route's limit: without this, a crash would cost a stream that could go on. */
+	/** Runs at replicas that have terminated do not count towards the route's limit. Otherwise a crash could fail a stream that can still be resumed. */
 	#countRun(replica: Replica) {
 		if (this.#parts.directory.get(replica.record.id) === replica) {
 			this.#runs += 1;
@@ -394,7 +394,7 @@
 		return this.#parts.directory.takingWork(this.#service).some(({record}) => !this.#tried.has(record.id));
 	}
 
-	/** The call is offered to no other replica. A refusal says that it has not run, so it is none once a replica had it, also one that has ended since. */
+	/** The call is offered to no further replica. A refusal states that the call has not run, so it is not used once any replica may have run it, even if that replica has terminated since. */
 	#giveUp(reason: GiveUpReason, afterMs: number) {
 		if (this.#mayHaveRun) {
 			this.#fail(reason === 'quarantined' ? 'it has ended the replicas that ran it' : 'no replica is left for another run');
@@ -425,7 +425,7 @@
 		this.#endWith(502, reason);
 	}
 
-	/** Part of the answer has been passed on; only a broken connection tells the caller that the rest will not come. */
+	/** Part of the answer has been forwarded; only a broken connection shows the caller that the rest will not follow. */
 	#cut(reason: string) {
 		this.#answer.cut();
 		this.#endWith(0, reason);
--- a/src/gateway/parts.ts
+++ b/src/gateway/parts.ts
@@ -1,5 +1,5 @@
 /**
-What the parts of the gateway share: the blackboard's tables and the services that are injected.
+Dependencies that the gateway's components share: the tables of the blackboard and the injected services.
 */
 import type {
 	Clock, EventLog, Metrics, RandomSource,
@@ -15,11 +15,11 @@
 import type {ServiceTimes} from './service-times.js';
 import type {CallDialect} from './types.js';
 
-/** See the module's head. */
+/** The shared dependencies. */
 export type GatewayParts = {
 	readonly board: ConfigBoard;
 	readonly directory: ReplicaDirectory;
-	/** Of the directory. */
+	/** Freshness of the directory. */
 	readonly replicaFreshness: FeedFreshness;
 	readonly loads: LoadBoard;
 	readonly connectionPools: ReplicaConnectionPools;
@@ -32,8 +32,8 @@
 	readonly random: RandomSource;
 	readonly log: EventLog;
 	readonly metrics: Metrics;
-	/** How many processes share the replicas, this one included. */
+	/** Number of gateway processes that send to the replicas, including this one. */
 	readonly processCount: () => number;
-	/** Where this process runs. */
+	/** Failure domain of this process. */
 	readonly failureDomain: string;
 };
--- a/src/gateway/read-progress.ts
+++ b/src/gateway/read-progress.ts
@@ -1,12 +1,12 @@
 /**
-Tells how long ago what is read now may have arrived. After a pause of this process an answer or a message that has waited in its sockets looks new; it may be as old as the pause.
+Tracks the earliest time at which data that is read now can have arrived. After a pause of this process, an answer or message that waited in a socket buffer looks new, but may be as old as the pause.
 */
 import type {Clock, Disposable} from '../common/services.js';
 
-/** Milliseconds between two looks at the clock. */
+/** Milliseconds between two readings of the clock. */
 const tickMs = 50;
 
-/** See the module's head. */
+/** Reads the clock at intervals and confirms each reading once the sockets have been read. */
 export class ReadProgress implements Disposable {
 	readonly #clock: Clock;
 	readonly #timer: NodeJS.Timeout;
@@ -20,7 +20,7 @@
 		}, tickMs);
 	}
 
-	/** What had arrived by then has been read, in milliseconds on the monotonic clock. What is read now arrived later. */
+	/** Everything that arrived before this time has been read; milliseconds on the monotonic clock. Data read now arrived later. */
 	get readUntil(): number {
 		return this.#readUntil;
 	}
@@ -31,7 +31,7 @@
 
 	#tick() {
 		const now = this.#clock.now();
-		// Sockets are read between timers and immediates.
+		// Node reads sockets between timers and immediates.
 		setImmediate(() => {
 			this.#readUntil = now;
 		});
--- a/src/gateway/readiness.ts
+++ b/src/gateway/readiness.ts
@@ -1,5 +1,5 @@
 /**
-Whether this process wants new connections: only with a configuration and a replica to send to, and not while it is leaving. Without the first it could not tell a route that does not exist from one that it has not heard of.
+Whether this process accepts new connections: it needs a configuration and at least one replica, and must not be shutting down. Without a configuration, it could not distinguish a route that does not exist from one that it has not received yet.
 */
 import type {NodeLifecycle} from '../common/node-lifecycle.js';
 import type {EventLog} from '../common/services.js';
@@ -7,7 +7,7 @@
 import {gatewayEvents} from './log-events.js';
 import type {ReplicaDirectory} from './replica-directory.js';
 
-/** What readiness depends on. */
+/** Dependencies of the readiness check. */
 export type ReadinessParts = {
 	readonly lifecycle: NodeLifecycle;
 	readonly board: ConfigBoard;
@@ -18,7 +18,7 @@
 /** Why a process is not ready; empty when it is. */
 export type NotReadyReason = '' | 'leaving' | 'no configuration' | 'no replica';
 
-/** See the module's head. */
+/** The readiness check; it logs each change. */
 export class Readiness {
 	readonly #parts: ReadinessParts;
 	#told: NotReadyReason | undefined;
--- a/src/gateway/registration-age.ts
+++ b/src/gateway/registration-age.ts
@@ -1,19 +1,19 @@
 /**
-How old the knowledge is by which a replica was chosen. A replica that leaves gets calls as long as its process has not heard of it; only these figures tell a process that hears late from one that keeps a registration too long.
+The age of the registrations by which a replica was chosen. A replica that leaves receives calls until this process learns of its removal; only these figures distinguish a process that receives changes late from one that retains a registration for too long.
 */
 import type {Clock} from '../common/services.js';
 import type {Replica} from './replica.js';
 import type {ReplicaDirectory} from './replica-directory.js';
 
-/** Fields of a log line about a choice, in milliseconds. */
+/** Fields of a log line about the choice of a replica, in milliseconds. */
 export type RegistrationAge = {
-	/** Since the object API last told of the registrations. */
+	/** Since the object API last answered a read of the registrations. */
 	readonly heardMs: number;
-	/** Since the replica's own registration has been missing. */
+	/** For how long the replica's own registration has been missing; `undefined` while it exists. */
 	readonly missedMs: number | undefined;
 };
 
-/** The age at this moment. */
+/** The age of a replica's registration at this moment. */
 export const registrationAge = ({directory, clock}: {readonly directory: ReplicaDirectory; readonly clock: Clock}, {missingSince: missedAt}: Replica): RegistrationAge => {
 	const now = clock.now();
 	return {
--- a/src/gateway/registration-controller.steps.ts
+++ b/src/gateway/registration-controller.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for registrations that are gone after an outage, on an object API in memory that can fail the calls of one kind.
+Steps for registrations that are missing after an outage, with an in-memory object API that can fail the calls for one kind.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -22,14 +22,14 @@
 	api: FakeObjectApi;
 	relay: ObjectRelay;
 	directory: ReplicaDirectory;
-	/** When the object API was back, in milliseconds of `performance.now()`. */
+	/** When the object API recovered, in milliseconds of `performance.now()`. */
 	backAt: number;
 };
 
 const log: EventLog = {emit: () => undefined};
 const clock = new SystemClock();
 
-/** Long enough for several calls to fail one after the other, in milliseconds. */
+/** Long enough for several consecutive calls to fail, in milliseconds. */
 const awayMs = 1200;
 
 const sleep = async (ms: number) => new Promise(resolve => {
@@ -38,13 +38,13 @@
 
 const listOf = (names: string): string[] => names.split(', ');
 
-/** The relay tries the object API itself while it is away, and hears so of its return. */
+/** While the object API is unavailable, the relay probes it directly, and so detects its recovery. */
 const untilTried = async ({api}: RegistrationsWorld) => {
 	const lists = api.calls.list;
-	await until(() => api.calls.list > lists, 'the object API is tried');
+	await until(() => api.calls.list > lists, 'the object API is probed');
 };
 
-Given('a process that follows the registrations of {string}', async function (this: RegistrationsWorld, names: string) {
+Given('a process that watches the registrations of {string}', async function (this: RegistrationsWorld, names: string) {
 	this.api = new FakeObjectApi();
 	this.directory = new ReplicaDirectory();
 	for (const name of listOf(names)) {
@@ -62,10 +62,10 @@
 		directory: this.directory, feed, records: replicaRecords, clock, log, drainMs: 2000,
 	}));
 	feed.start();
-	await until(() => this.directory.size === listOf(names).length, 'all replicas are known');
+	await until(() => this.directory.size === listOf(names).length, 'all replicas are cached');
 });
 
-When('the object API is away, and {string} leaves meanwhile', async function (this: RegistrationsWorld, name: string) {
+When('the object API is unavailable, and {string} is removed meanwhile', async function (this: RegistrationsWorld, name: string) {
 	this.api.down = true;
 	await sleep(awayMs);
 	this.api.down = false;
@@ -73,7 +73,7 @@
 	this.api.down = true;
 });
 
-When('it is back, but fails the calls for registrations for {int} ms more', async function (this: RegistrationsWorld, ms: number) {
+When('it recovers, but fails the calls for registrations for {int} ms more', async function (this: RegistrationsWorld, ms: number) {
 	const {api} = this;
 	api.beforeCall = (_call, kind) => {
 		api.down = kind === 'Registration';
@@ -85,7 +85,7 @@
 	api.down = false;
 });
 
-When('it is back {int} ms after it was tried, and the process is paused for {int} ms', async function (this: RegistrationsWorld, ms: number, pauseMs: number) {
+When('it recovers {int} ms after it was probed, and the process is paused for {int} ms', async function (this: RegistrationsWorld, ms: number, pauseMs: number) {
 	await untilTried(this);
 	await sleep(ms);
 	this.api.down = false;
@@ -93,7 +93,7 @@
 	pauseProcess(pauseMs);
 });
 
-When('the object API is away, answers once, and is away for {int} ms more', async function (this: RegistrationsWorld, ms: number) {
+When('the object API is unavailable, answers once, and is unavailable for {int} ms more', async function (this: RegistrationsWorld, ms: number) {
 	this.api.down = true;
 	await sleep(awayMs);
 	this.api.beforeCall = (_call, kind) => {
@@ -106,20 +106,20 @@
 	await sleep(ms);
 });
 
-When('all registrations have lapsed when it is back', async function (this: RegistrationsWorld) {
+When('all registrations have expired when it recovers', async function (this: RegistrationsWorld) {
 	this.api.down = false;
 	for (const {name} of this.api.all('Registration')) {
 		await this.api.remove('Registration', name);
 	}
 });
 
-Then('the process knows {string} within {int} ms of the object API\'s return', async function (this: RegistrationsWorld, names: string, ms: number) {
-	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are known`);
+Then('the process has cached {string} within {int} ms of the object API\'s recovery', async function (this: RegistrationsWorld, names: string, ms: number) {
+	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are cached`);
 	const lateMs = performance.now() - this.backAt;
 	assert.ok(lateMs <= ms, `${Math.round(lateMs)} ms`);
 });
 
-Then('the process knows {string} for {int} ms more', async function (this: RegistrationsWorld, names: string, ms: number) {
+Then('the process has {string} cached for {int} ms more', async function (this: RegistrationsWorld, names: string, ms: number) {
 	const endsAt = performance.now() + ms;
 	while (performance.now() < endsAt) {
 		assert.equal(registeredReplicas(this.directory).join(', '), names);
--- a/src/gateway/registration-controller.ts
+++ b/src/gateway/registration-controller.ts
@@ -1,9 +1,9 @@
 /**
-Brings the replicas' registrations from the object API onto the blackboard.
+Copies the replicas' registrations from the object API to the blackboard.
 
-A registration that cannot be read was written by somebody else than a replica, or was spoilt. It names no replica to send calls to, and a replica that it named before is used no more; the others hold. The replica itself, if it lives, writes the entry anew with its next heartbeat.
+An invalid registration was not written by a replica, or was corrupted. It removes the replica that it named before and leaves all others as they are. If that replica is alive, it rewrites the record with its next heartbeat.
 
-Registrations lapse while the object API is away, since replicas cannot renew them, and come back soon after it does. A replica whose registration is missing right after an outage is therefore kept for a while: dropping it at once would empty a service whose replicas are all well. A process cannot tell whether the object API was away or only itself cut off from it, and whether a registration has lapsed or its replica leaves; so the while is short enough that a replica which leaves gets no call after its time either way.
+Registrations expire while the object API is unavailable, because replicas cannot renew them, and are written again soon after it recovers. A replica whose registration is missing right after an outage is therefore retained for a grace period, since removing it at once would empty a service whose replicas are all healthy. A process cannot distinguish an unavailable object API from its own loss of connectivity, or an expired registration from a replica that leaves, so the grace period is short enough that a leaving replica gets no call after its deadline in either case.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {Clock, Disposable, EventLog} from '../common/services.js';
@@ -15,39 +15,39 @@
 import type {ReplicaDirectory} from './replica-directory.js';
 import type {ReplicaId, ReplicaRecord} from './types.js';
 
-/** Live replicas are registered again about two seconds after an outage; in milliseconds from the first answer after it. A process that was itself cut off has 3 s, and hears the first answer within 0.9 s of them: a call that had just begun must fail, and the next try begins. */
+/** Grace period in milliseconds from the first answer after an outage. Live replicas are registered again about two seconds after it. A process that was itself cut off has 3 s, of which up to 0.9 s pass before the first answer: a call that had just started must fail before the next attempt starts. */
 const graceAfterOutageMs = 2100;
 
-/** A process that was cut off must have stopped sending to replicas that have left after this time, in milliseconds from when it could reach the object API again. One that was paused then hears the first answer late. */
+/** Time within which a process that was cut off must have stopped sending to replicas that have left, in milliseconds from when it could reach the object API again. A process that was paused at that time receives the first answer late. */
 const contactMs = 3000;
 
-/** A call is on its way to its replica for this long at most after the replica was chosen, in milliseconds: a round trip between failure domains for the connection, and one way. */
+/** Longest time between the choice of a replica and the arrival of the call there, in milliseconds: a round trip between failure domains for the connection, and one more way for the call. */
 const travelMs = 100;
 
-/** One call of the object API that failed between two that did not is a lost connection, and too short for registrations to lapse. */
+/** A single failed call of the object API between two successful ones is a lost connection, and too short for registrations to expire. */
 const leastFailuresOfOutage = 2;
 
-/** Fewer replicas than this share of all do not lapse together: single ones have left. */
+/** Missing registrations up to this share of all are not a mass expiry: single replicas have left. */
 const shareOfLapse = 1 / 3;
 
-/** What the controller reads and writes. */
+/** Dependencies of the controller. */
 export type RegistrationControllerParts = {
 	readonly directory: ReplicaDirectory;
 	readonly feed: ObjectFeed;
 	readonly records: RecordReaders;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** Milliseconds after its registration is gone within which a replica must get no more calls. */
+	/** Milliseconds after the removal of its registration from which on a replica must get no more calls. */
 	readonly drainMs: number;
 };
 
-/** See the module's head. */
+/** Applies the registrations' lists and changes to the directory. */
 export class RegistrationController implements Disposable {
 	readonly #parts: RegistrationControllerParts;
 	readonly #missed = new Map<ReplicaId, NodeJS.Timeout>();
-	/** Why registrations cannot be read, by name: each reason is logged once, though the entry comes again with every list. */
+	/** Why registrations are invalid, by name. Each reason is logged once, although every list contains the record again. */
 	readonly #unreadable = new Map<string, string>();
-	/** Registrations that have told when their replica started. */
+	/** Names of registrations that have contained a start time. */
 	readonly #tellStart = new Set<string>();
 
 	constructor(parts: RegistrationControllerParts) {
@@ -90,7 +90,7 @@
 	}
 
 	#takeChanges(events: readonly WatchEvent[]) {
-		// A registration that lapsed and came back within the same batch is not missing.
+		// A registration that expired and was written again within the same batch is not missing.
 		const last = new Map(events.map(event => [event.name, event]));
 		const news = [...last.values()];
 		const gone = news.filter(({type}) => type === 'delete').map(({name}) => name);
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	A replica that has told when it started always does; its entry without that was written by somebody else. Of other replicas nothing follows from it: during a release some tell and some do not, and one entry must not empty a service.
+	A replica that has announced its start time always does, so a record of it without one was not written by the replica. This does not apply to other replicas: during a rollout, some announce it and some do not, and one record must not empty a service.
 	*/
 	#withStart(name: string, record: ReplicaRecord): Either<string, ReplicaRecord> {
 		if (record.startedAt !== undefined) {
@@ -125,7 +125,7 @@
 			return Right(record);
 		}
 
-		return this.#tellStart.has(name) ? Left('it does not tell when the replica started') : Right(record);
+		return this.#tellStart.has(name) ? Left('the start time is missing, although earlier records of the replica had one') : Right(record);
 	}
 
 	#put(record: ReplicaRecord) {
@@ -134,7 +134,7 @@
 		this.#parts.directory.put(record);
 	}
 
-	/** An entry that cannot be read names no replica. */
+	/** Removes the replica of an invalid registration. */
 	#drop(name: string, reason: string) {
 		if (this.#unreadable.get(name) !== reason) {
 			this.#unreadable.set(name, reason);
@@ -185,7 +185,7 @@
 		this.#missed.delete(id);
 	}
 
-	/** A registration that is heard to be gone later than the outage's end may have lapsed late, or its replica leaves now: it has only the time of one that leaves. */
+	/** A registration whose removal is received after the outage's end may have expired late, or its replica may be leaving, so it is retained no longer than a leaving replica may get calls. */
 	#graceLeftMs(): number {
 		const {feed, clock, drainMs} = this.#parts;
 		const now = clock.now();
--- a/src/gateway/replica-choice.feature
+++ b/src/gateway/replica-choice.feature
@@ -1,13 +1,13 @@
-Feature: Where online calls go under a wave of them
-  Calls come in waves that need all places for seconds. Whether a call waits then depends on how evenly the processes
-  of the gateway spread them, each knowing of the others' calls only what they last told.
+Feature: Choice of replicas during waves of online calls
+  Calls come in waves that need all slots for seconds. Whether a call waits then depends on how evenly the processes
+  of the gateway distribute the calls, each with only the last announcements of the others.
 
-  Scenario Outline: Many processes do not all send to the replica that looks emptiest
-    # 22 processes see the same replica as the emptiest, and all send to it before they hear of each other.
-    Given <processes> processes and <replicas> replicas of <slots> places
-    And <rate> calls a second, with news every <news> ms
+  Scenario Outline: Many processes do not all send to the least loaded replica
+    # 22 processes see the same replica as the least loaded one, and all send to it before they receive each other's announcements.
+    Given <processes> processes and <replicas> replicas of <slots> slots
+    And <rate> calls a second, with announcements every <news> ms
     Then fewer than <share> % of the calls wait too long
-    And looking at all replicas would make at least <factor> times as many wait too long
+    And choosing among all replicas would make at least <factor> times as many wait too long
 
     Examples:
       | processes | replicas | slots | rate | news | share | factor |
@@ -15,17 +15,17 @@
       | 22        | 34       | 7     | 183  | 42   | 5     | 1.5    |
       | 17        | 27       | 7     | 142  | 168  | 10    | 1.7    |
 
-  Scenario: Few processes lose nothing by it
-    Given 3 processes and 18 replicas of 7 places
-    And 84 calls a second, with news every 40 ms
+  Scenario: Few processes are not at a disadvantage by it
+    Given 3 processes and 18 replicas of 7 slots
+    And 84 calls a second, with announcements every 40 ms
     Then fewer than 2 % of the calls wait too long
 
-  Scenario Outline: Together, the processes cut off as many items as there are calls too many
-    # A call comes to a replica whose places are all taken. Each process that has an item there hears of it; if each cut
-    # one off, the replica would be left half empty, and the items would begin again elsewhere.
-    Given a replica of 7 places with <online> calls
+  Scenario Outline: Together, the processes preempt as many items as there are excess calls
+    # A call arrives at a replica whose slots are all in use. Each process that has an item there receives the
+    # announcement; if each preempted one, the replica would be left half empty, and the items would restart elsewhere.
+    Given a replica of 7 slots with <online> calls
     And processes with "<items>" items there
-    Then they cut <cut> items off together
+    Then they preempt <cut> items together
 
     Examples:
       | online | items         | cut |
@@ -35,12 +35,12 @@
       | 9      | 1, 2, 1       | 4   |
       | 3      | 2, 2          | 0   |
 
-  Scenario Outline: A replica that fails a part of its calls at once does not draw the calls of the others
-    # Its failed calls are over at once, so it looks emptiest; with errors for every call it would get nearly all of them.
-    Given <replicas> replicas of <slots> places, of which one fails <failing> % of its calls at once
+  Scenario Outline: A replica that immediately fails a share of its calls does not attract the calls of the others
+    # Its failed calls end at once, so it looks least loaded; if it failed every call, it would get nearly all of them.
+    Given <replicas> replicas of <slots> slots, of which one immediately fails <failing> % of its calls
     When <rate> calls a second come
-    Then fewer than <share> % of the calls fail, against <without> % without a memory of failures
-    And the replica still gets some calls, and its part of them once it has recovered
+    Then fewer than <share> % of the calls fail, against <without> % without a record of failures
+    And the replica still gets some calls, and its share of them once it has recovered
 
     Examples:
       | replicas | slots | failing | rate | share | without |
@@ -49,20 +49,20 @@
       | 3        | 6     | 40      | 10   | 5     | 15      |
       | 13       | 8     | 100     | 70   | 1     | 60      |
 
-  Scenario: Replicas that lose single answers keep their part of the calls
-    # Half of the replicas lose a twentieth of their streams, which go on elsewhere after some hundred milliseconds. If
-    # each loss counted without the requests that went well, the calls would crowd at the other half and wait there.
-    Given 22 processes and 34 replicas of 7 places
-    And 183 calls a second, with news every 42 ms
+  Scenario: Replicas that lose single answers keep their share of the calls
+    # Half of the replicas lose a twentieth of their streams, which continue elsewhere after some hundred milliseconds.
+    # If losses were counted without the successful requests, calls would concentrate on the other half and wait there.
+    Given 22 processes and 34 replicas of 7 slots
+    And 183 calls a second, with announcements every 42 ms
     And half of the replicas lose 5 % of their answers
     Then at most 1 % more of the calls wait too long than if none was lost
-    And at least 1.5 % more would if losses were counted without the requests that went well
+    And at least 1.5 % more would if losses were counted without the successful requests
 
-  Scenario Outline: Replicas that are added carry their part within a second, and are not overrun
-    # Empty replicas join while all others are full. If they were found slowly they would stay idle beside loaded ones;
-    # if each process sent all its calls there before it hears of the others, the calls would wait there instead.
-    Given <processes> processes and <replicas> replicas of 7 places
-    And <rate> calls a second, with news every <news> ms
+  Scenario Outline: Replicas that are added carry their share within a second, and are not overloaded
+    # Empty replicas are added while all others are full. If they were used too slowly, they would stay idle beside
+    # loaded ones; if each process sent all its calls there before it receives announcements, the calls would wait there.
+    Given <processes> processes and <replicas> replicas of 7 slots
+    And <rate> calls a second, with announcements every <news> ms
     And <added> of the replicas are added, empty, within a wave
     Then in their first second each gets <least> to <most> times the calls that each of the others gets
     And none ever has more than 10 calls
--- a/src/gateway/replica-choice.steps.ts
+++ b/src/gateway/replica-choice.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the choice of replicas under load, in virtual time with fixed seeds.
+Steps for the choice of replicas under load, in simulations with virtual time and fixed seeds.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -29,11 +29,11 @@
 	.map(seed => new WaveModel({...wave, random: new SeededRandom(seed)}).run())
 	.reduce((sum, share) => sum + share, 0) / seeds.length;
 
-Given('{int} processes and {int} replicas of {int} places', function (this: ChoiceWorld, processes: number, replicas: number, slots: number) {
+Given('{int} processes and {int} replicas of {int} slots', function (this: ChoiceWorld, processes: number, replicas: number, slots: number) {
 	this.fleet = {processes, replicas, slots};
 });
 
-Given('{int} calls a second, with news every {int} ms', function (this: ChoiceWorld, perSecond: number, announceEveryMs: number) {
+Given('{int} calls a second, with announcements every {int} ms', function (this: ChoiceWorld, perSecond: number, announceEveryMs: number) {
 	this.wave = {...this.fleet, perSecond, announceEveryMs};
 });
 
@@ -42,7 +42,7 @@
 	assert.ok(this.share < percent / 100, `${this.share}`);
 });
 
-Then('looking at all replicas would make at least {float} times as many wait too long', function (this: ChoiceWorld, factor: number) {
+Then('choosing among all replicas would make at least {float} times as many wait too long', function (this: ChoiceWorld, factor: number) {
 	const all = meanShare({...this.wave, assumedProcessCount: 1});
 	assert.ok(all >= factor * this.share, `${all} against ${this.share}`);
 });
@@ -51,7 +51,7 @@
 	this.wave = {...this.wave, lossShare: percent / 100};
 });
 
-/** Percentage points of late calls that the losses add. */
+/** Percentage points of late calls that are due to the losses. */
 const addedByLosses = (world: ChoiceWorld, lossAccounting: Wave['lossAccounting']): number => {
 	world.lateWithoutLosses ??= meanShare({...world.wave, lossShare: 0});
 	return 100 * (meanShare({...world.wave, lossAccounting}) - world.lateWithoutLosses);
@@ -62,7 +62,7 @@
 	assert.ok(more <= percent, String(more));
 });
 
-Then('at least {float} % more would if losses were counted without the requests that went well', function (this: ChoiceWorld, percent: number) {
+Then('at least {float} % more would if losses were counted without the successful requests', function (this: ChoiceWorld, percent: number) {
 	const more = addedByLosses(this, 'count');
 	assert.ok(more >= percent, String(more));
 });
@@ -86,7 +86,7 @@
 	assert.ok(found <= most, String(found));
 });
 
-Given('a replica of {int} places with {int} calls', function (this: ChoiceWorld, slots: number, online: number) {
+Given('a replica of {int} slots with {int} calls', function (this: ChoiceWorld, slots: number, online: number) {
 	this.place = {slots, online};
 });
 
@@ -94,7 +94,7 @@
 	this.items = items.split(', ').map(Number);
 });
 
-Then('they cut {int} items off together', function (this: ChoiceWorld, count: number) {
+Then('they preempt {int} items together', function (this: ChoiceWorld, count: number) {
 	const {place: {slots, online}, items} = this;
 	const members = items.map((_, i) => branded<MemberName>(`front-${i}`));
 	const cut = members.map((self, own) => {
@@ -113,7 +113,7 @@
 	assert.equal(cut.reduce((sum, one) => sum + one, 0), count);
 });
 
-Given('{int} replicas of {int} places, of which one fails {int} % of its calls at once', function (this: ChoiceWorld, replicas: number, slots: number, percent: number) {
+Given('{int} replicas of {int} slots, of which one immediately fails {int} % of its calls', function (this: ChoiceWorld, replicas: number, slots: number, percent: number) {
 	this.fault = {
 		replicas, slots, failing: percent / 100, perSecond: 0,
 	};
@@ -129,16 +129,16 @@
 	return {failed: mean('failed'), shareAtEnd: mean('shareAtEnd')};
 };
 
-Then('fewer than {int} % of the calls fail, against {int} % without a memory of failures', function (this: ChoiceWorld, share: number, without: number) {
+Then('fewer than {int} % of the calls fail, against {int} % without a record of failures', function (this: ChoiceWorld, share: number, without: number) {
 	const noted = meanOutcome({...this.fault, areOutcomesRecorded: true});
 	assert.ok(noted.failed < share / 100, String(noted.failed));
 	assert.ok(meanOutcome({...this.fault, areOutcomesRecorded: false}).failed > without / 100);
 });
 
-/** When the fault ends, in milliseconds: half of the time that is played. */
+/** When the fault ends, in milliseconds: halfway through the simulation. */
 const recoversAt = 15_000;
 
-Then('the replica still gets some calls, and its part of them once it has recovered', function (this: ChoiceWorld) {
+Then('the replica still gets some calls, and its share of them once it has recovered', function (this: ChoiceWorld) {
 	const {replicas} = this.fault;
 	assert.ok(meanOutcome({...this.fault, areOutcomesRecorded: true}).shareAtEnd > 0);
 	const recovered = meanOutcome({...this.fault, areOutcomesRecorded: true, endsAt: recoversAt});
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -1,37 +1,37 @@
 /**
-Which replica gets a call. Engines admit first come, first served and run `slots` requests at once, so a call is soonest served where the fewest are in flight. Online calls count batch items for less than themselves, since an item is cut off as soon as an online call needs its place; batch items go only where places stay free for the next online calls.
+The choice of a replica for a call or item. Engines serve in order of arrival and run `slots` requests at once, so a call is served soonest where the fewest are in flight. For online calls, batch items weigh less than calls, because an item is preempted as soon as an online call needs its slot; batch items are sent only where slots stay free for the next online calls.
 
-What a process knows of the others' calls is some ten milliseconds old. Under a wave of calls to many processes, the replica that looks emptiest looks so to all of them, and all send there before they hear of each other: calls wait at one replica while places stay free at others. So each looks at a few replicas by lot and takes the best of these; the more processes there are, the fewer it looks at.
+The peers' loads are some ten milliseconds old. During a burst of calls to many processes, the least loaded replica is the same for all of them, and all would send there before they receive each other's announcements: calls would wait at one replica while slots stay free at others. Each process therefore chooses the best of a random sample of replicas; the more processes there are, the smaller the sample.
 */
 import {rankMembers} from '../common/rendezvous.js';
 import type {RandomSource} from '../common/services.js';
 import type {Replica} from './replica.js';
 import type {MemberName, ReplicaId} from './types.js';
 
-/** What a choice depends on besides the replicas' load. */
+/** Criteria of a choice besides the replicas' load. */
 export type ChoiceContext = {
 	/** Milliseconds on the monotonic clock. */
 	readonly now: number;
 	readonly random: RandomSource;
-	/** Replicas that this call has tried. */
+	/** Replicas that the call has already been offered to. */
 	readonly tried: ReadonlySet<ReplicaId>;
-	/** This process's failure domain: between equals, the near replica saves traffic between domains. */
+	/** This process's failure domain: among equal replicas, one in the same domain avoids traffic between domains. */
 	readonly failureDomain: string;
-	/** How many processes send to the replicas, this one included. */
+	/** Number of processes that send to the replicas, including this one. */
 	readonly processCount: number;
-	/** Whether a run that fails may go on at another replica. */
+	/** Whether a failed run may be continued at another replica. */
 	readonly canFailOver: boolean;
 };
 
 /**
-An item that runs delays an online call only by the time that cutting it off takes, about one round trip against the near second of a stream; it still must count for something, or all calls would gather where items run.
+Weight of a batch item relative to an online call. A running item delays an online call only by its preemption, about one round trip compared with the near second of a stream. The weight must not be 0, or all calls would concentrate where items run.
 */
 const batchWeight = 0.15;
 
 /**
-What a failure costs a caller, as a share of the replica's places that are taken before the call. A call that goes on elsewhere loses some hundred milliseconds, about what it would wait behind half of the places. One that may not, or whose second run fails too, is lost, which no load is worth.
+Cost of a failure to the caller, as a share of the replica's occupied slots. A call that is continued elsewhere loses some hundred milliseconds, about the wait behind half of the slots. A call that may not be continued, or whose second run fails too, is lost, which outweighs any load.
 
-So a replica that fails most of its calls gets few, and replicas that lose a single answer now and then keep their part (replica-choice.feature).
+A replica that fails most of its calls therefore gets few, and replicas that lose a single answer now and then keep their share (replica-choice.feature).
 */
 const rerunCost = 0.5;
 const lossCost = 3;
@@ -41,14 +41,14 @@
 	return canGoElsewhere ? (share * rerunCost) + (share * share * lossCost) : share * lossCost;
 };
 
-/** Less than any difference of load, so that it decides only between equals. */
+/** Smaller than any difference in load, so that it decides only among equally loaded replicas. */
 const otherDomainCost = 0.05;
 
-/** Chance between equals: processes with the same view must not all pick the same replica. */
+/** Random cost that decides among equal replicas: processes with the same view must not all choose the same one. */
 const jitter = 0.04;
 
 /**
-Replicas that are looked at: so many of all that every replica is in the view of about two processes at a time, and three at the least. Few processes see nearly all, and take nearly the best (replica-choice.feature).
+Size of the sample: each replica is in the samples of about two processes at a time, and each sample has at least three replicas. With few processes, a sample contains nearly all replicas, and the choice is nearly optimal (replica-choice.feature).
 */
 const viewers = 2;
 const fewestLots = 3;
@@ -82,9 +82,10 @@
 };
 
 /**
-The replica for an online call. Replicas that are doubted are the last resort: with all of a service in doubt, trying one beats refusing.
+Chooses a replica for an online call. Replicas within a backoff are the last resort: if all replicas of a service are, trying one is better than a refusal.
 
-@param replicas - Those of the service that take work.
+@param replicas - Replicas of the service that accept work.
+@returns `undefined` if every replica has been tried.
 */
 export const chooseForOnline = (replicas: readonly Replica[], context: ChoiceContext): Replica | undefined => {
 	const untried = replicas.filter(({record}) => !context.tried.has(record.id));
@@ -93,9 +94,10 @@
 };
 
 /**
-The replica for a batch item, if one has a place to spare.
+Chooses a replica for a batch item.
 
-@param reserve - Places of each replica that items leave free.
+@param reserve - Slots of each replica that items leave free.
+@returns `undefined` if no replica has a slot to spare.
 */
 export const chooseForBatch = (replicas: readonly Replica[], reserve: number, context: ChoiceContext): Replica | undefined => {
 	const open = replicas.filter(replica => !replica.isBackedOff(context.now)
@@ -106,9 +108,9 @@
 };
 
 /**
-How many of its own items a process cuts off at a replica, so that all together cut off what exceeds the places and no more.
+Number of its own items that a process preempts at a replica, so that all processes together preempt exactly the excess over the slots.
 
-All processes see about the same load and hear of an online call at about the same time. If each cut its share, rounded up, every one of them would cut an item off for one call: a call came to a full replica and left it half empty, and items that lacked a few events were cut off again and again. So all rank the holders of items for the replica alike, and the first ones give way.
+All processes see about the same load and receive the announcement of an online call at about the same time. If each preempted its share, rounded up, every one of them would preempt an item for a single call: one call to a full replica would leave it half empty, and items that lack only a few events would be preempted repeatedly. Therefore all processes rank the owners of items at the replica identically, and the first ones preempt.
 */
 export const itemsToPreempt = (replica: Replica, self: MemberName): number => {
 	const excess = replica.total - replica.record.slots;
--- a/src/gateway/replica-connection-pool.steps.ts
+++ b/src/gateway/replica-connection-pool.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the kept connections to one replica, on loopback.
+Steps for the connection pool of one replica, on loopback.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
--- a/src/gateway/replica-connection-pool.ts
+++ b/src/gateway/replica-connection-pool.ts
@@ -1,5 +1,5 @@
 /**
-Kept connections to one replica, one request at a time on each. They are kept here and not in a pool of the HTTP library, because what becomes of a request depends on its connection: whether it is new, whether its neighbours went silent, and whether its socket failed while an answer without a length was under way.
+Pool of kept-alive connections to one replica, with one request at a time on each. The HTTP library's own pool is not used, because the handling of a request depends on its connection: whether it is new, whether other connections to the replica became unresponsive, and whether its socket failed during an answer without a length.
 */
 import buildConnector from 'undici/lib/core/connect.js';
 import Client from 'undici/lib/dispatcher/client.js';
@@ -7,21 +7,21 @@
 import type {Clock, Disposable} from '../common/services.js';
 import {SocketWatch} from '../io/socket-watch.js';
 
-/** An idle connection is closed after this long where the replica announces no time of its own, in milliseconds; below the 5 s that Node's and most other servers keep one. */
+/** Idle time after which a connection is closed if the replica announces none, in milliseconds; below the 5 s for which Node's and most other servers keep an idle connection. */
 const idleMs = 4000;
 
-/** The replica's announced idle time is shortened by this much, in milliseconds, so that a request does not cross the replica's close. */
+/** Subtracted from the idle time that the replica announces, in milliseconds, so that a request is not sent while the replica closes the connection. */
 const idleMarginMs = 1000;
 
-/** Undici's own watch on connecting; the attempt has a shorter one, with exact timing. */
+/** Undici's connect time-out; the attempt has a shorter one with exact timing. */
 const connectLimitMs = 5000;
 
-/** A socket stays writable after the replica's end of the connection, so that it can be asked whether it was reset. */
+/** Sockets stay writable after the replica has ended the connection, so that a reset can still be detected. */
 const connect = buildConnector({timeout: connectLimitMs, allowH2: false, allowHalfOpen: true});
 
-/** One connection, or the attempt to make it. It carries one request at a time. */
+/** One connection, established or being established. It carries one request at a time. */
 export class ReplicaConnection implements Disposable {
-	/** Since when it has carried no request, in milliseconds on the monotonic clock. */
+	/** Since when it has been idle, in milliseconds on the monotonic clock. */
 	idleSince = Infinity;
 	readonly #client: Client;
 	readonly #siblings: ReplicaConnectionPool;
@@ -31,7 +31,7 @@
 
 	/**
 	@param address - `ip:port`.
-	@param siblings - Hears when the connection can carry no more requests.
+	@param siblings - The pool that the connection is removed from when it can carry no more requests.
 	*/
 	constructor(address: string, siblings: ReplicaConnectionPool) {
 		this.#siblings = siblings;
@@ -58,12 +58,12 @@
 		return this.#isOver;
 	}
 
-	/** Whether no request has been answered on it: it is made with its first one. */
+	/** Whether no request has been answered on it yet. The connection is established with its first request. */
 	get isNew(): boolean {
 		return this.#isNew;
 	}
 
-	/** Whether the replica reset the connection rather than ended it; to be asked at the end of an answer without a length, before anything else happens to the socket. */
+	/** Whether the replica reset the connection instead of ending it. To be called at the end of an answer without a length, before anything else happens to the socket. */
 	async wasReset(): Promise<boolean> {
 		return this.#socketWatch.wasReset();
 	}
@@ -72,19 +72,19 @@
 		this.#client.dispatch(options, handler);
 	}
 
-	/** The request was answered in full and as it should be: the connection is free for another. */
+	/** Frees the connection for another request, after a complete and valid answer. */
 	release(): void {
 		this.#isNew = false;
 		this.#siblings.returnToPool(this);
 	}
 
-	/** Closes the connection at once, which tells the replica to drop what it runs on it. */
+	/** Closes the connection at once, on which the replica aborts the request that it runs for it. */
 	discard(): void {
 		this.#siblings.removeConnection(this);
 		this.dispose();
 	}
 
-	/** Closes the idle connections to the same replica: what has gone silent on one may have on all of them. */
+	/** Closes the idle connections to the same replica: if one is unresponsive, all may be. */
 	closeIdleSiblings(): void {
 		this.#siblings.closeIdle();
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-/** The connections to one replica. */
+/** The pool of one replica. */
 export class ReplicaConnectionPool implements Disposable {
 	readonly #address: string;
 	readonly #clock: Clock;
@@ -110,22 +110,22 @@
 		this.#clock = clock;
 	}
 
-	/** Connections that are open or being made. */
+	/** Number of connections that are open or being established. */
 	get size(): number {
 		return this.#all.size;
 	}
 
-	/** Connections made so far. */
+	/** Number of connections created so far. */
 	get createdCount(): number {
 		return this.#made;
 	}
 
 	/**
-	A connection to send one request on: the one that was used last, since it is the least likely to be closed by the replica meanwhile. After a pause of this process, idle ones may have been closed without their timers having run.
+	Acquires a connection for one request: the most recently used idle one, since the replica is the least likely to have closed it. Expired ones are closed first, because timers do not run during a pause of this process.
 
-	@param limit - Connections that may be open at once.
-	@param mustBeNew - Whether a kept connection will not do.
-	@returns Nothing when all are busy.
+	@param limit - Maximum number of open connections.
+	@param mustBeNew - Whether kept-alive connections are excluded.
+	@returns `undefined` if all connections are busy.
 	*/
 	acquire(limit: number, mustBeNew = false): ReplicaConnection | undefined {
 		this.#closeOutdated();
@@ -133,9 +133,9 @@
 	}
 
 	/**
-	Gives a connection back after a complete answer.
+	Returns a connection to the pool after a complete answer.
 
-	It is used again only after the bytes that have already arrived were looked at: a faulty replica may send a second answer behind the first, which must not be taken for that of the next request.
+	It is reused only after bytes that have already arrived were read: a faulty replica may send a second answer after the first one, which must not be taken as the answer to the next request.
 	*/
 	returnToPool(connection: ReplicaConnection): void {
 		if (this.#isRetired) {
@@ -151,7 +151,7 @@
 		});
 	}
 
-	/** A connection can carry no more requests. */
+	/** Removes a connection that can carry no more requests. */
 	removeConnection(connection: ReplicaConnection): void {
 		this.#all.delete(connection);
 		this.#idle = this.#idle.filter(idle => idle !== connection);
@@ -166,7 +166,7 @@
 		this.#idle = [];
 	}
 
-	/** Closes each connection as soon as no request is under way on it: a replica that has left serves those to the end. */
+	/** Closes each connection as soon as it carries no request: a replica that has left completes the requests in flight. */
 	drain(): void {
 		this.#isRetired = true;
 		this.closeIdle();
@@ -180,7 +180,7 @@
 		this.#idle = [];
 	}
 
-	/** Where the limit is reached, the connection that has been idle for longest makes room. */
+	/** If the limit is reached, closes the connection that has been idle for longest. */
 	#makeInsteadOfIdle(limit: number): ReplicaConnection | undefined {
 		if (this.#all.size >= limit) {
 			this.#idle[0]?.discard();
--- a/src/gateway/replica-connection-pools.ts
+++ b/src/gateway/replica-connection-pools.ts
@@ -1,5 +1,5 @@
 /**
-The connections of this process to all replicas, kept by start: a replica that starts again, at the same address or under the same id, begins without the connections of the start before.
+The connection pools of this process, one for each start of a replica: a replica that restarts, at the same address or under the same id, does not inherit the connections of its earlier start.
 */
 import type {Clock, Disposable} from '../common/services.js';
 import type {ConfigBoard} from './config-board.js';
@@ -8,22 +8,22 @@
 import type {ReplicaDirectory} from './replica-directory.js';
 import type {ReplicaId} from './types.js';
 
-/** Connections to a replica of a service that no configuration names yet. */
+/** Connection limit for replicas of a service that is not in the configuration yet. */
 const defaultMaxConnections = 64;
 
-/** However many processes share a replica, each may hold this many connections to it. */
+/** Connections to a replica that each process may have, regardless of the number of processes. */
 const leastConnections = 8;
 
-/** What the links are made of. */
+/** Dependencies of the pools. */
 export type ReplicaConnectionPoolsParts = {
 	readonly board: ConfigBoard;
 	readonly directory: ReplicaDirectory;
 	readonly clock: Clock;
-	/** How many processes of the gateway send to the replicas, this one included. */
+	/** Number of gateway processes that send to the replicas, including this one. */
 	readonly processCount: () => number;
 };
 
-/** See the module's head. */
+/** The connection pools of all replicas. */
 export class ReplicaConnectionPools implements Disposable {
 	readonly #parts: ReplicaConnectionPoolsParts;
 	readonly #links = new Map<ReplicaId, ReplicaConnectionPool>();
@@ -35,20 +35,20 @@
 			if (change === 'left') {
 				this.#remove(replica.record.id)?.drain();
 			} else if (change === 'restarted') {
-				// Nobody is left to answer what is under way. A VM that lost its power resets nothing, and callers would wait until the silence is noticed, 1.2 s for calls that may be repeated and to the end of their time for others.
+				// Requests in flight at the earlier start will not be answered. A VM that lost power resets no connection, and callers would wait for the silence time-out: 1.2 s for repeatable calls, and the rest of their time for others.
 				this.#remove(replica.record.id)?.dispose();
 			}
 		});
 	}
 
-	/** Connections made so far, to all replicas. */
+	/** Number of connections created so far, to all replicas. */
 	get createdCount(): number {
 		return [...this.#links.values()].reduce((sum, {createdCount: made}) => sum + made, this.#madeByGone);
 	}
 
 	/**
-	@param mustBeNew - Whether a kept connection will not do.
-	@returns Nothing when this process's share of the replica's connections is in use.
+	@param mustBeNew - Whether kept-alive connections are excluded.
+	@returns `undefined` if this process's share of the replica's connections is in use.
 	*/
 	acquire(replica: Replica, mustBeNew = false): ReplicaConnection | undefined {
 		return this.#connectionsTo(replica).acquire(this.#shareOf(replica), mustBeNew);
@@ -72,7 +72,7 @@
 		return connections;
 	}
 
-	/** A replica resets connections beyond its limit, and with them requests that others have under way. */
+	/** A replica resets connections beyond its limit, and with them requests in flight of other processes. */
 	#shareOf({record}: Replica): number {
 		const {board, processCount: sharers} = this.#parts;
 		const all = board.service(record.service)?.maxConnections ?? defaultMaxConnections;
--- a/src/gateway/replica-directory.steps.ts
+++ b/src/gateway/replica-directory.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for replicas that start again under their id, on the tables alone.
+Steps for replicas that restart under their id, with the tables only.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -45,7 +45,7 @@
 	}));
 };
 
-Given('replica {string} started at {int} is known, with {int} own calls and {int} of peer {string}', function (this: DirectoryWorld, id: string, startedAt: number, own: number, others: number, peer: string) {
+Given('replica {string} started at {int} is registered, with {int} own calls and {int} of peer {string}', function (this: DirectoryWorld, id: string, startedAt: number, own: number, others: number, peer: string) {
 	this.directory = new ReplicaDirectory();
 	this.directory.put(recordOf(id, startedAt));
 	this.told = [];
@@ -79,11 +79,11 @@
 	});
 });
 
-When('peer {string} tells of {int} call(s) at {string} started at {int}', function (this: DirectoryWorld, peer: string, online: number, replica: string, startedAt: number) {
+When('peer {string} announces {int} call(s) at {string} started at {int}', function (this: DirectoryWorld, peer: string, online: number, replica: string, startedAt: number) {
 	tell(this, peer, {online, replica, startedAt});
 });
 
-When('peer {string} tells of {int} failure(s) in {int} requests at {string} started at {int}', function (this: DirectoryWorld, peer: string, failures: number, requests: number, replica: string, startedAt: number) {
+When('peer {string} announces {int} failure(s) in {int} requests at {string} started at {int}', function (this: DirectoryWorld, peer: string, failures: number, requests: number, replica: string, startedAt: number) {
 	this.seq += 1;
 	this.peers.receive(stateOf(peer, this.seq, {
 		outcomes: [{
@@ -92,7 +92,7 @@
 	}));
 });
 
-Then('{int} % of the requests at {string} pass for failed', function (this: DirectoryWorld, percent: number, id: string) {
+Then('{int} % of the requests at {string} are counted as failed', function (this: DirectoryWorld, percent: number, id: string) {
 	const share = replicaOf(this, id).outcomes.failureShare(new SystemClock().now());
 	assert.equal(Math.round(100 * share), percent);
 });
@@ -101,10 +101,10 @@
 	assert.equal(replicaOf(this, id).total, count);
 });
 
-Then('{string} is trusted', function (this: DirectoryWorld, id: string) {
+Then('{string} is not backed off', function (this: DirectoryWorld, id: string) {
 	assert.equal(replicaOf(this, id).isBackedOff(100), false);
 });
 
-Then('the directory told {string} of {string}', function (this: DirectoryWorld, changes: string, _id: string) {
+Then('the directory reported {string} for {string}', function (this: DirectoryWorld, changes: string, _id: string) {
 	assert.equal(this.told.join(', '), changes);
 });
--- a/src/gateway/replica-directory.ts
+++ b/src/gateway/replica-directory.ts
@@ -1,27 +1,27 @@
 /**
-The replicas that are registered, by service: the part of the blackboard that the registrations' follower writes and routing reads.
+The registered replicas, by service: the part of the blackboard that the registration controller writes and routing reads.
 */
 import {EventEmitter} from 'node:events';
 import {Replica} from './replica.js';
 import type {GatewayServiceName, ReplicaId, ReplicaRecord} from './types.js';
 
-/** What became of a registration. */
+/** A change of a registration. */
 export type ReplicaChange = {
 	readonly replica: Replica;
-	/** `restarted`: this start has ended, and another one joins under the same id. */
+	/** `restarted`: this start has ended; another one joins under the same id. */
 	readonly change: 'joined' | 'draining' | 'changed' | 'left' | 'restarted';
 };
 
 const changeBetween = (before: ReplicaRecord, after: ReplicaRecord): ReplicaChange['change'] => after.isDraining && !before.isDraining ? 'draining' : 'changed';
 
-/** Knows every registered replica. */
+/** All registered replicas. */
 export class ReplicaDirectory {
-	/** When the object API last told of the registrations, in milliseconds on the monotonic clock. */
+	/** When the object API last answered a read of the registrations, in milliseconds on the monotonic clock. */
 	heardAt = -Infinity;
 	readonly #events = new EventEmitter();
 	readonly #byId = new Map<ReplicaId, Replica>();
 	readonly #byService = new Map<GatewayServiceName, Replica[]>();
-	/** Starts that later ones under the same id have followed. */
+	/** Start times of earlier starts, by the id that a later start has taken over. */
 	readonly #endedStarts = new Map<ReplicaId, Set<number>>();
 
 	get size(): number {
@@ -36,17 +36,17 @@
 		return this.#byId.get(id);
 	}
 
-	/** Replicas of a service that take new work. Replaced at each change, never changed in place. */
+	/** Replicas of a service that accept new work. The array is replaced at each change, never modified. */
 	takingWork(service: GatewayServiceName): readonly Replica[] {
 		return this.#byService.get(service) ?? [];
 	}
 
-	/** Whether this start of a replica is still registered and takes new work. */
+	/** Whether this start of a replica is still registered and accepts new work. */
 	takesWork(replica: Replica): boolean {
 		return this.takingWork(replica.record.service).includes(replica);
 	}
 
-	/** Takes over a registration, new or changed. */
+	/** Adds or updates a registration. */
 	put(record: ReplicaRecord): void {
 		const known = this.#byId.get(record.id);
 		if (!known) {
@@ -66,7 +66,7 @@
 		this.#tell({replica: known, change: changeBetween(before, record)});
 	}
 
-	/** Forgets a registration. Requests under way there go on. */
+	/** Removes a registration. Requests in flight at its replica continue. */
 	remove(id: ReplicaId): void {
 		const replica = this.#byId.get(id);
 		if (!replica) {
@@ -92,7 +92,7 @@
 	}
 
 	/**
-	Another start under a known id. Which one is the later is told by the order in which they were first seen and not by their times: the clock of a VM may have been set back between two starts. A write of an earlier start that takes effect late must not bring it back; callers would lose the streams that the later one serves.
+	Handles another start under a registered id. The later start is the one that was seen later, regardless of the start times, because a VM's clock may have been set back between two starts. A delayed write of an earlier start must not bring it back, or callers would lose the streams that the later start serves.
 	*/
 	#follow(known: Replica, record: ReplicaRecord) {
 		const {id, startedAt} = known.record;
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -1,5 +1,5 @@
 /**
-One start of a replica as this process sees it: its registration, what runs on it, and whether its recent connections failed. A replica that starts again under its id is another object: nothing that was counted or feared of the earlier start holds for it.
+One start of a replica as this process sees it: its registration, the requests in flight on it, and whether recent connections to it failed. A replica that restarts under its id is represented by a new object: neither the counts nor the backoff of the earlier start apply to it.
 */
 import {RecentOutcomes} from './contacts/recent-outcomes.js';
 import type {MemberName, ReplicaRecord} from './types.js';
@@ -13,26 +13,26 @@
 const nothing: ReplicaLoad = {online: 0, batch: 0};
 
 /**
-A replica that could not be reached is left alone for this long, and twice as long after each further failure, up to the ceiling, in milliseconds. The first figure is a few times the round trip within a region, so that a reset of one connection costs its replica little; the ceiling is about what a crashed process takes to come back.
+Backoff after a failed connection, in milliseconds: the initial one, doubled after each further failure up to the maximum. The initial one is a few times the round trip within a region, so that the reset of a single connection costs its replica little; the maximum is about the time that a crashed process takes to restart.
 */
 const firstDoubtMs = 250;
 const maxDoubtMs = 2000;
 
-/** A replica that declined an item gets none for this long, in milliseconds: several messages of each peer, so that its true load is known by then. */
+/** A replica that declined an item gets no items for this long, in milliseconds. Each peer announces its load several times within it, so that the cached load is correct afterwards. */
 const fullMs = 300;
 
-/** A replica, mutable: its table and the requests under way write it. */
+/** Mutable state of a replica, written by its directory and by the requests in flight. */
 export class Replica {
-	/** Own requests in flight. */
+	/** Online calls and batch items of this process in flight. */
 	online = 0;
 	batch = 0;
 	record: ReplicaRecord;
-	/** How requests have ended here of late, this process's and its peers'. */
+	/** Recent outcomes of requests of this process and its peers. */
 	readonly outcomes = new RecentOutcomes();
-	/** When something last came from it, on any connection, and when a connection made for the question last showed that it can be reached; in milliseconds on the monotonic clock. */
+	/** Times at which data was last received from it on any connection, and at which a probe connection last succeeded; in milliseconds on the monotonic clock. */
 	heardAt = -Infinity;
 	probeSucceededAt = -Infinity;
-	/** Since when its registration has been missing, in milliseconds on the monotonic clock; `undefined` while it is there. */
+	/** Since when its registration has been missing, in milliseconds on the monotonic clock; `undefined` while it exists. */
 	missingSince: number | undefined;
 	readonly #peers = new Map<MemberName, ReplicaLoad>();
 	#peerOnline = 0;
@@ -45,12 +45,12 @@
 		this.record = record;
 	}
 
-	/** Online requests in flight, this process's and its peers'. */
+	/** Online requests in flight of this process and its peers. */
 	get allOnline(): number {
 		return this.online + this.#peerOnline;
 	}
 
-	/** Batch items in flight, this process's and its peers'. */
+	/** Batch items in flight of this process and its peers. */
 	get allBatch(): number {
 		return this.batch + this.#peerBatch;
 	}
@@ -60,12 +60,12 @@
 		return this.allOnline + this.allBatch;
 	}
 
-	/** Which peers have batch items in flight here, and how many. */
+	/** Peers that have batch items in flight here, with their number. */
 	get peersWithItems(): Array<[MemberName, number]> {
 		return [...this.#peers].filter(([, {batch}]) => batch > 0).map(([peer, {batch}]) => [peer, batch]);
 	}
 
-	/** Takes over what a peer says it has in flight here. */
+	/** Replaces the load that a peer announced for this replica. */
 	setPeerLoad(peer: MemberName, load: ReplicaLoad = nothing): void {
 		const before = this.#peers.get(peer) ?? nothing;
 		this.#peerOnline += load.online - before.online;
@@ -77,18 +77,18 @@
 		}
 	}
 
-	/** @param now - Milliseconds on the monotonic clock. */
+	/** @param now - Milliseconds on the monotonic clock. @returns Whether the replica is within a backoff. */
 	isBackedOff(now: number): boolean {
 		return now < this.#doubtedUntil;
 	}
 
-	/** No connection can be made. It is doubted until one can, see `ReplicaContacts`. */
+	/** No connection can be made. The backoff lasts until one can, see `ReplicaReachability`. */
 	noteUnreachable(): void {
 		this.#doubtedUntil = Infinity;
 	}
 
 	/**
-	A connection went silent, or its address belongs to another. A longer doubt stands: requests that were sent before the replica was found unreachable go silent after it, and must not bring callers back to it.
+	A connection became unresponsive, or the address belongs to another replica. A longer backoff is never shortened: requests that were sent before the replica was found unreachable time out after that, and must not make it eligible again.
 	*/
 	noteFailure(now: number): void {
 		this.#doubts += 1;
@@ -96,16 +96,17 @@
 		this.#doubtedUntil = Math.max(this.#doubtedUntil, now + doubtMs);
 	}
 
-	/** The replica declined an item for lack of a place; what is known of its load lags behind. */
+	/** The replica declined an item for lack of a slot, so the cached load is outdated. */
 	noteFull(now: number): void {
 		this.#fullUntil = now + fullMs;
 	}
 
-	/** Whether items are to go elsewhere for now. */
+	/** Whether batch items are to be sent elsewhere for now. */
 	isFull(now: number): boolean {
 		return now < this.#fullUntil;
 	}
 
+	/** The replica answered, which ends the backoff. */
 	noteAnswer(): void {
 		this.#doubts = 0;
 		this.#doubtedUntil = 0;
--- a/src/gateway/route-table.ts
+++ b/src/gateway/route-table.ts
@@ -1,17 +1,17 @@
 /**
-The routes of one configuration, by host and path. Among the routes of a host, the longest prefix that begins the path is taken.
+The routes of one configuration, by host and path. Among the routes of a host, the one with the longest matching path prefix is used.
 */
 import type {GatewayConfig, GatewayRoute} from './types.js';
 
 const longestFirst = (a: GatewayRoute, b: GatewayRoute): number => b.pathPrefix.length - a.pathPrefix.length;
 
-/** Hosts are compared without their port and without case, as HTTP has it. */
+/** Hosts are compared without the port and case-insensitively, as HTTP specifies. */
 const plainHost = (host: string): string => host.toLowerCase().replace(/:\d+$/v, '');
 
 /** The path without its query. */
 const plainPath = (target: string): string => target.split('?', 1)[0] ?? target;
 
-/** Finds the route of a call. Never changes: another configuration is another table. */
+/** Finds the route of a call. Immutable: each configuration has its own table. */
 export class RouteTable {
 	readonly #byHost: ReadonlyMap<string, readonly GatewayRoute[]>;
 	readonly #byName: ReadonlyMap<string, GatewayRoute>;
@@ -23,8 +23,9 @@
 	}
 
 	/**
-	@param host - The `Host` of the call.
+	@param host - The `Host` header of the call.
 	@param target - Path and query.
+	@returns `undefined` if no route matches.
 	*/
 	match(host: string, target: string): GatewayRoute | undefined {
 		const path = plainPath(target);
--- a/src/gateway/service-times.steps.ts
+++ b/src/gateway/service-times.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the wait for a place.
+Steps for the wait for a slot.
 */
 import assert from 'node:assert/strict';
 import {Given, Then} from '@cucumber/cucumber';
@@ -17,7 +17,7 @@
 const service = branded<GatewayServiceName>('engines');
 const other = branded<GatewayServiceName>('desk');
 
-/** So many calls that the mean has settled. */
+/** Number of calls after which the mean is stable. */
 const many = 200;
 
 Given('calls of a service take {int} ms', function (this: TimesWorld, ms: number) {
@@ -27,7 +27,7 @@
 	});
 });
 
-Given('its replicas of {int} places have {string} calls and {string} items in flight', function (this: TimesWorld, slots: number, calls: string, items: string) {
+Given('its replicas of {int} slots have {string} calls and {string} items in flight', function (this: TimesWorld, slots: number, calls: string, items: string) {
 	const batch = items.split(', ').map(Number);
 	this.replicas = calls.split(', ').map((online, i) => {
 		const replica = new Replica({
@@ -39,10 +39,10 @@
 	});
 });
 
-Then('a further call waits {int} ms for a place', function (this: TimesWorld, ms: number) {
+Then('a further call waits {int} ms for a slot', function (this: TimesWorld, ms: number) {
 	assert.equal(Math.round(this.times.waitMs(service, this.replicas)), ms);
 });
 
-Then('a further call of another service waits {int} ms for a place', function (this: TimesWorld, ms: number) {
+Then('a further call of another service waits {int} ms for a slot', function (this: TimesWorld, ms: number) {
 	assert.equal(this.times.waitMs(other, this.replicas), ms);
 });
--- a/src/gateway/service-times.ts
+++ b/src/gateway/service-times.ts
@@ -1,20 +1,20 @@
 /**
-How long replicas of each service need for a call, and so whether a call can get a place in its time at all.
+The time that replicas of each service need for a call, and thereby whether a call can get a slot before its deadline.
 
-The pattern: calls come faster than places become free for longer than their callers wait. Each call that is sent then waits in an engine's queue until its time is over, takes a place of the queue from one that could still be served, and its caller learns nothing before that. A caller who is told at once, and when there will be room, can come back or do without.
+When calls arrive faster than slots become free for longer than callers wait, each further call waits in an engine's queue until its time is over. It delays calls that could still be served, and its caller gets no answer before the time-out. A caller that is refused at once, with the time after which to retry, can retry or do without.
 */
 import {ExpectedTime} from './contacts/expected-time.js';
 import type {Replica} from './replica.js';
 import type {GatewayServiceName} from './types.js';
 
-/** Fewer calls say too little about a service. */
+/** With fewer calls, the mean is not representative of a service. */
 const leastCalls = 10;
 
-/** See the module's head. */
+/** Mean service times, and the wait for a slot that follows from them. */
 export class ServiceTimes {
 	readonly #times = new Map<GatewayServiceName, ExpectedTime>();
 
-	/** A call that found a free place was answered whole after so many milliseconds. */
+	/** Records the time from sending to the complete answer of a call that found a free slot, in milliseconds. */
 	recordDuration(service: GatewayServiceName, ms: number): void {
 		const time = this.#times.get(service) ?? new ExpectedTime();
 		time.observe(ms);
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	Milliseconds until a call gets a place, at the replica where that is soonest. Batch items are not counted, since they give way. 0 while too little is known, or where no replica is known: then the call is to be tried.
+	Milliseconds until a call gets a slot, at the replica with the shortest wait. Batch items are not counted, since online calls preempt them. 0 if too few calls were recorded or no replica is given: the call is then to be tried.
 	*/
 	waitMs(service: GatewayServiceName, replicas: readonly Replica[]): number {
 		const time = this.#times.get(service);
--- a/src/gateway/testing/batch-wave-model.ts
+++ b/src/gateway/testing/batch-wave-model.ts
@@ -1,27 +1,27 @@
 /**
-Batch items in the places that waves of online calls leave, in virtual time and without a network: by default one process that sees everything, so that only the order of the items decides; or several, each with jobs of its own, that share the free places.
+Simulates batch items in the slots that waves of online calls leave free, in virtual time and without a network. By default a single process sees all items, so that only their order decides; optionally, several processes with their own jobs share the free slots.
 
-The wave is that of the busiest deployments: for 3.4 s calls take a quarter of the places, then for 2.4 s all of them. Items are due 18 s after they were submitted, as there, and ten come at once.
+The wave is that of the busiest deployments: for 3.4 s calls occupy a quarter of the slots, then for 2.4 s all of them. As there, items are due 18 s after their submission; ten are submitted at once.
 */
 import type {RandomSource} from '../../common/services.js';
 import {
 	slotAllowance, initialRunEstimate, byUrgency, countWaiting, updateEstimate, updateSlowdown, type RunEstimate, type WaitingItem,
 } from '../batch/batch-policy.js';
 
-/** The load. */
+/** The simulated load. */
 export type BatchWave = {
 	readonly places: number;
-	/** Items a second, on the mean. */
+	/** Mean number of items per second. */
 	readonly perSecond: number;
-	/** Decides the jobs. */
+	/** Generates the jobs. */
 	readonly random: RandomSource;
-	/** Decides the rest, so that two plays have the same jobs. */
+	/** Generates all other random values, so that two simulations have the same jobs. */
 	readonly draws?: RandomSource;
 	/** Whether interruptions are learnt. */
 	readonly isSlowdownEstimated: boolean;
-	/** Processes among which the jobs are spread by lot. */
+	/** Number of processes, among which the jobs are distributed at random. */
 	readonly processes?: number;
-	/** Whether each takes places by how many items wait at it and at the others, and not an equal share. */
+	/** Whether each process takes slots in proportion to its share of the waiting items, instead of an equal share. */
 	readonly isProportional?: boolean;
 };
 
@@ -45,10 +45,10 @@
 const eventsOfItem = 157;
 const spread = 0.4;
 
-/** What each process says that it has, where all are to take equal shares; more than all places. */
+/** Waiting items that each process reports if all are to take equal shares; more than there are slots. */
 const equalPart = {timely: 1000, late: 0};
 
-/** See the module's head. */
+/** The simulation. */
 export class BatchWaveModel {
 	readonly #wave: BatchWave;
 	#items: Item[] = [];
@@ -62,7 +62,7 @@
 		this.#length = wave.isSlowdownEstimated ? initialRunEstimate : {...initialRunEstimate, slowdown: 1, slowdownDeviation: 0};
 	}
 
-	/** @returns The share of items that were done by their time. */
+	/** @returns The share of items that were done by their due time. */
 	run(): number {
 		for (let now = 0; now < lengthMs; now += stepMs) {
 			this.#submit(now);
@@ -86,7 +86,7 @@
 		}
 	}
 
-	/** Cuts off what is too much, least work first, and fills what is free in the order of the policy. */
+	/** Preempts excess items, those with the least work done first, and fills free slots in the order of the policy. */
 	#place(now: number) {
 		const {places} = this.#wave;
 		const free = now % periodMs < calmMs ? Math.floor(places * (1 - calmShare)) : 0;
@@ -97,7 +97,7 @@
 		this.#share(Math.max(0, free - running.length), now);
 	}
 
-	/** Each process fills its part of the free places with the most urgent of its items. */
+	/** Each process fills its share of the free slots with its most urgent items. */
 	#share(free: number, now: number) {
 		const {processes = 1, random, draws = random, isProportional: isCompared = true} = this.#wave;
 		const waiting = this.#items.filter(({isRunning}) => !isRunning).toSorted(byUrgency(this.#length, now));
--- a/src/gateway/testing/crash-model.ts
+++ b/src/gateway/testing/crash-model.ts
@@ -1,27 +1,27 @@
 /**
-A service whose replicas a few requests end, again and again, in virtual time and without a network.
+Simulates a service with a few requests that repeatedly crash its replicas, in virtual time and without a network.
 
-The load is that of departure boards on the users' deployments: 13 replicas of 8 places, calls of 0.8 s that fill about half of them. A call that loses its replica is run once more at another one, and its caller sends it once more. A poison request ends its replica 0.1 s after it has begun; it comes again 0.15 s after each failure, and its replica is back after 3.2 s.
+The load is that of departure boards on the users' deployments: 13 replicas of 8 slots, and calls of 0.8 s that fill about half of them. A call whose replica crashes is rerun once at another replica, and its caller sends it once more. A poison request crashes its replica 0.1 s after it has started and is sent again 0.15 s after each failure; a crashed replica is back after 3.2 s.
 */
 import type {RandomSource} from '../../common/services.js';
 
-/** The load. */
+/** The simulated load. */
 export type PoisonLoad = {
-	/** Poison requests that come again and again. */
+	/** Number of poison requests, which are sent again after each failure. */
 	readonly poison: number;
 	readonly perSecond: number;
-	/** Replicas that may end under a request before it is held back. */
+	/** Number of crashes during a request after which it is quarantined. */
 	readonly crashThreshold: number;
 	readonly random: RandomSource;
-	/** How a crash counts against the requests that were there; `each` by default. */
+	/** How a crash is attributed to the requests on the replica; `each` by default. */
 	readonly blame?: Blame;
-	/** Share of the ordinary calls that all ask for the same. */
+	/** Share of the ordinary calls that have identical content. */
 	readonly popularShare?: number;
-	/** When half of the replicas end at once for no fault of a request, in milliseconds. */
+	/** Times at which half of the replicas crash at once without being caused by a request, in milliseconds. */
 	readonly outagesAt?: readonly number[];
 };
 
-/** `each`: one for each request that was there. `shared`: one in all, in equal parts. */
+/** `each`: one crash for each request on the replica. `shared`: one crash in total, divided equally. */
 export type Blame = 'each' | 'shared';
 
 const blameOf: Readonly<Record<Blame, (requests: number) => number>> = {
@@ -29,15 +29,15 @@
 	shared: requests => 1 / requests,
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type PoisonOutcome = {
-	/** Replicas that ended. */
+	/** Number of crashes. */
 	readonly ended: number;
-	/** Ordinary requests in all, and those of them that were held back, or got no whole answer for another reason. */
+	/** Number of ordinary requests, of those wrongly quarantined, and of those without a complete answer for another reason. */
 	readonly ordinary: number;
 	readonly heldWrongly: number;
 	readonly lost: number;
-	/** Popular requests in all, and those of them that were held back. */
+	/** Number of requests with the popular content, and of those quarantined. */
 	readonly popular: number;
 	readonly popularHeld: number;
 };
@@ -54,7 +54,7 @@
 
 type Engine = {downUntil: number; runs: Run[]};
 
-/** Times in milliseconds, as the head tells them. */
+/** Times in milliseconds, see the head of the module. */
 const lengthMs = 30_000;
 const stepMs = 5;
 const engines = 13;
@@ -67,10 +67,10 @@
 const runsOfTry = 2;
 const triesOfCaller = 2;
 
-/** See the module's head. */
+/** The simulation. */
 export class CrashModel {
 	readonly #load: PoisonLoad;
-	/** By content, how much speaks against it and when the last crash was. */
+	/** Weight of the crashes attributed to each content, and the time of the last one. */
 	readonly #suspicions = new Map<string, {weight: number; lastCrashAt: number}>();
 	readonly #engines: Engine[] = Array.from({length: engines}, () => ({downUntil: 0, runs: []}));
 
@@ -124,7 +124,7 @@
 		};
 	}
 
-	/** Half of the replicas end at once, none of them under a poison request. */
+	/** Crashes half of the replicas at once, without a poison request as the cause. */
 	#takeOutage() {
 		if (!this.#load.outagesAt?.some(at => at <= this.#now && this.#now < at + stepMs)) {
 			return;
--- a/src/gateway/testing/grey-failure-model.ts
+++ b/src/gateway/testing/grey-failure-model.ts
@@ -1,7 +1,7 @@
 /**
-One process that sends calls to replicas of which one fails a part of them at once, in virtual time and without a network.
+Simulates a process that sends calls to replicas, one of which immediately fails a share of them (a grey failure), in virtual time and without a network.
 
-The load is that of a plain service or a small model on the users' deployments: calls take 0.7 s, about half of the places are in use, and a failed call is over after 2 ms.
+The load is that of a plain service or a small model on the users' deployments: calls take 0.7 s, about half of the slots are in use, and a failed call ends after 2 ms.
 */
 import {branded} from '../../common/ids.js';
 import type {RandomSource} from '../../common/services.js';
@@ -9,7 +9,7 @@
 import {Replica} from '../replica.js';
 import type {GatewayServiceName, ReplicaId} from '../types.js';
 
-/** The load and the fault. */
+/** The simulated load and fault. */
 export type GreyFailure = {
 	readonly replicas: number;
 	readonly slots: number;
@@ -17,17 +17,17 @@
 	/** Share of its calls that the first replica fails. */
 	readonly failing: number;
 	readonly random: RandomSource;
-	/** Whether outcomes are noted. */
+	/** Whether outcomes are recorded. */
 	readonly areOutcomesRecorded: boolean;
 	/** When the fault ends, in milliseconds. */
 	readonly endsAt?: number;
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type GreyFailureOutcome = {
 	/** Share of all calls that failed. */
 	readonly failed: number;
-	/** Share of the calls of the last 5 s that went to the first replica. */
+	/** Share of the calls in the last 5 s that were sent to the first replica. */
 	readonly shareAtEnd: number;
 };
 
@@ -36,7 +36,7 @@
 const serviceMs = 700;
 const failureMs = 2;
 
-/** @returns What came of the calls. */
+/** Runs the simulation. */
 export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded: isNoted, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
 	const all = Array.from({length: replicas}, (_, i) => new Replica({
 		id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
--- a/src/gateway/testing/rate-limit-model.ts
+++ b/src/gateway/testing/rate-limit-model.ts
@@ -1,46 +1,46 @@
 /**
-Processes that hold an account to its rate limit together, in virtual time and without a network: calls arrive at random, and what one process tells reaches the others late, or is lost.
+Simulates processes that jointly enforce the rate limit of an account, in virtual time and without a network. Calls arrive at random, and the announcements of a process reach the others late, or are lost.
 */
 import type {Clock, EventLog, RandomSource} from '../../common/services.js';
 import {branded} from '../../common/ids.js';
 import {RateLimits} from '../accounts/rate-limits.js';
 import type {ClientAccountName, MemberName, RateLimit} from '../types.js';
 
-/** How the processes share a limit. `told`: each hears of the others' admissions. `parts`: each has an equal part to itself. `authority`: one process hands credit out to the others, some calls ahead. */
+/** How the processes share a limit. `told`: each announces its admissions to the others. `parts`: each enforces an equal part of the limit on its own. `authority`: one process grants credit to the others, some calls ahead. */
 export type SharingStrategy = 'told' | 'parts' | 'authority';
 
-/** The fleet and its load. */
+/** The simulated processes and their load. */
 export type RateLimitLoad = {
 	readonly processes: number;
 	readonly limit: RateLimit;
-	/** Calls a second of the account, over all processes. */
+	/** Calls of the account per second, over all processes. */
 	readonly perSecond: number;
-	/** The share of the calls that comes to the first process; the others get equal parts of the rest. An equal part by default. */
+	/** Share of the calls that the first process receives; the others receive equal parts of the rest. An equal part by default. */
 	readonly firstShare?: number;
 	readonly random: RandomSource;
 	readonly strategy: SharingStrategy;
-	/** Within these milliseconds, the last so many processes neither hear the others nor are heard. */
+	/** Partitions the last so many processes from the others, from and until these times in milliseconds. */
 	readonly cut?: {readonly processes: number; readonly from: number; readonly until: number};
-	/** All processes are started anew at this moment, in milliseconds. */
+	/** Time at which all processes are restarted, in milliseconds. */
 	readonly restartAt?: number;
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type RateLimitOutcome = {
-	/** The most calls that were admitted within any window. */
+	/** Maximum number of calls admitted within any window. */
 	readonly maxInWindow: number;
-	/** Admitted calls, of those that the limit allows over the whole time or that came, whichever is less. */
+	/** Admitted calls as a share of those that arrived, or that the limit allows over the whole time if that is fewer. */
 	readonly servedShare: number;
-	/** Messages that one process sends in a second, on the mean. */
+	/** Mean number of messages that one process sends per second. */
 	readonly messagesPerSecond: number;
-	/** Bytes that one process sends in a second for it, on the mean. */
+	/** Mean number of bytes in these messages per second and process. */
 	readonly bytesPerSecond: number;
 };
 
-/** Calls beyond the limit that operators tolerate in a window, as the most of it that the rules of a deployment allow. */
+/** Calls beyond the limit that are tolerated in a window; the maximum that the rules of a deployment allow. */
 export const modelTolerance = 20;
 
-/** In milliseconds. */
+/** Window in which admitted calls are counted, in milliseconds. */
 export const modelWindowMs = 5000;
 
 const lengthMs = 20_000;
@@ -49,10 +49,10 @@
 const mostTravelMs = 30;
 const lostShare = 0.01;
 
-/** A process asks the authority for what its calls need in this long, in seconds. */
+/** A process requests credit for the calls of this long from the authority, in seconds. */
 const aheadS = 0.2;
 
-/** A credit message: its headers, a name and two counts, in bytes. */
+/** Size of a credit message, in bytes: its headers, a name and two counts. */
 const creditBytes = 120;
 
 const account = branded<ClientAccountName>('a');
@@ -60,10 +60,10 @@
 
 type Happening = {readonly at: number; readonly act: () => void};
 
-/** What decides on calls at one process. */
+/** Decides on calls at one process. */
 type Decider = {
 	admit(now: number): boolean;
-	/** Tells the others, and returns the bytes of one message; nothing when there is nothing to tell. */
+	/** Sends an announcement to the others and returns the size of one message in bytes; 0 if there is nothing to announce. */
 	tell?(now: number): number;
 };
 
@@ -75,7 +75,7 @@
 		this.#happenings.push({at, act});
 	}
 
-	/** Runs everything in the order of its time. Most happenings are known ahead, so they are sorted by milliseconds. */
+	/** Runs all events in the order of their times. Most events are scheduled in advance, so they are sorted into buckets of a millisecond. */
 	run(untilMs: number): void {
 		const slots: Happening[][] = Array.from({length: untilMs + 1}, () => []);
 		const place = (happenings: readonly Happening[]) => {
@@ -191,7 +191,7 @@
 		return cut !== undefined && process >= processes - cut.processes && now >= cut.from && now < cut.until;
 	}
 
-	/** Delivers a message, unless it is lost or on the wrong side of a cut. */
+	/** Delivers a message unless it is lost or crosses a partition. */
 	#send(from: number, to: number, bytes: number, act: () => void) {
 		const {random} = this.#load;
 		this.#messages += 1;
@@ -241,7 +241,7 @@
 		});
 	}
 
-	/** The first process is the authority. Credit that is not used within its time is given back by forgetting it. */
+	/** The first process is the authority. Unused credit is never returned. */
 	#startAuthority(): Decider[] {
 		const {processes, limit} = this.#load;
 		const bucket = {level: this.#timeline.now === 0 ? limit.burst : 0, filledAt: this.#timeline.now};
@@ -298,5 +298,5 @@
 	}
 }
 
-/** Plays the load. */
+/** Runs the simulation. */
 export const simulateRateLimit = (load: RateLimitLoad): RateLimitOutcome => new RateLimitModel(load).run();
--- a/src/gateway/testing/registrations.ts
+++ b/src/gateway/testing/registrations.ts
@@ -1,12 +1,12 @@
 /**
-Registrations for the steps of several features: their values are the replicas' records as they are.
+Registrations for the steps of several features. Their values are unencoded replica records.
 */
 import {Left, Right} from 'purify-ts/Either';
 import type {RecordReaders} from '../record-readers.js';
 import type {ReplicaDirectory} from '../replica-directory.js';
 import type {ReplicaRecord} from '../types.js';
 
-/** Reads registrations only. */
+/** Readers that support registrations only. */
 export const replicaRecords: RecordReaders = {
 	configName: 'main',
 	retirementDone: {},
@@ -15,10 +15,10 @@
 	readRetirement: () => Right({withinMs: 0}),
 };
 
-/** What a replica writes of itself. */
+/** The registration of a replica. */
 export const registrationOf = (id: string): ReplicaRecord => ({
 	id, service: 'engines', address: '127.0.0.1:1', failureDomain: 'hall', slots: 8, isDraining: false,
 } as unknown as ReplicaRecord);
 
-/** The names of the replicas that a process knows, in their order. */
+/** The sorted ids of the replicas in a directory. */
 export const registeredReplicas = (directory: ReplicaDirectory): string[] => [...directory.all].map(({record}) => record.id as string).toSorted((a, b) => (a < b ? -1 : 1));
--- a/src/gateway/testing/wave-model.ts
+++ b/src/gateway/testing/wave-model.ts
@@ -1,7 +1,7 @@
 /**
-Processes that send waves of online calls to shared replicas, in virtual time and without a network: each chooses by its own counts and by what the others last told, as fronts do.
+Simulates processes that send waves of online calls to shared replicas, in virtual time and without a network. Like a front, each process chooses replicas by its own counts and the last announcements of the others.
 
-The wave is that of the busiest deployments: 3.8 s at 0.38 times the mean rate, then 2.8 s at 1.84 times, when calls need nine tenths of all places and more.
+The wave is that of the busiest deployments: 3.8 s at 0.38 times the mean rate, then 2.8 s at 1.84 times, when calls need nine tenths of all slots and more.
 */
 import type {RandomSource} from '../../common/services.js';
 import {branded} from '../../common/ids.js';
@@ -9,32 +9,32 @@
 import {Replica} from '../replica.js';
 import type {GatewayServiceName, MemberName, ReplicaId} from '../types.js';
 
-/** The fleet and its load. */
+/** The simulated processes, replicas and load. */
 export type Wave = {
 	readonly processes: number;
 	readonly replicas: number;
-	/** Places of each replica. */
+	/** Slots of each replica. */
 	readonly slots: number;
-	/** Calls a second over all processes, on the mean. */
+	/** Mean number of calls per second, over all processes. */
 	readonly perSecond: number;
-	/** For how long each process gathers news before it tells them, in milliseconds. */
+	/** Interval between the announcements of a process, in milliseconds. */
 	readonly announceEveryMs: number;
 	readonly random: RandomSource;
-	/** How many sharers the choice is told of, where it is not the number of processes: 1 makes it look at all replicas. */
+	/** Number of processes that the choice assumes, if not the real one; with 1, the sample contains all replicas. */
 	readonly assumedProcessCount?: number;
-	/** Half of the replicas lose this share of their answers, right after they began; the calls go on elsewhere. */
+	/** Share of answers that half of the replicas lose right after their start; the calls are continued elsewhere. */
 	readonly lossShare?: number;
-	/** What a failure tells the choice: its share of the requests, or, as a mere count would, that all fail. */
+	/** How the choice counts failures: as a share of the requests, or by number, which is as if all requests failed. */
 	readonly lossAccounting?: 'share' | 'count';
-	/** The last so many replicas are added, empty, within the second wave. */
+	/** Number of replicas, the last ones, that are added empty during the second wave. */
 	readonly addedReplicas?: number;
 };
 
-/** What replicas that are added get in their first second. */
+/** Calls at the added replicas in their first second. */
 export type AddedReplicasOutcome = {
-	/** Calls at each, of those at each of the others; 1 is an equal part. */
+	/** Calls at each added replica relative to each of the others; 1 is an equal share. */
 	readonly callRatio: number;
-	/** The most calls at one of them at a time, queue included. */
+	/** Maximum number of calls at one of them at a time, including its queue. */
 	readonly maxCalls: number;
 };
 
@@ -50,22 +50,22 @@
 const serviceMs = 680;
 const serviceSpread = 0.4;
 
-/** Replicas are added then, in milliseconds: half a second into a wave, when all others are full. */
+/** Time at which replicas are added, in milliseconds: half a second into a wave, when all others are full. */
 const joinAt = periodMs + calmMs + 500;
 const joinWatchMs = 1000;
 
-/** Processes tell outcomes this often, in milliseconds, as fronts do. */
+/** Interval at which processes announce outcomes, in milliseconds, as fronts do. */
 const outcomesEveryMs = 250;
 
-/** A replica that loses an answer does so at its first event, in milliseconds. */
+/** Time from the start of a run to the loss of its answer, in milliseconds: at the first event. */
 const lostMs = 30;
 
-/** A wait that, with the way and the prompt, takes the first event past a latency target of 300 ms. */
+/** A wait that, with transit and prompt processing, delays the first event beyond a latency target of 300 ms. */
 const lateMs = 250;
 
 const levelAt = (now: number): number => now % periodMs < calmMs ? calmLevel : highLevel;
 
-/** See the module's head. */
+/** The simulation. */
 export class WaveModel {
 	readonly #wave: Wave;
 	readonly #views: readonly Replica[][];
@@ -89,7 +89,7 @@
 		this.#queues = Array.from({length: replicas}, () => []);
 	}
 
-	/** Where replicas are added, only until their first second is over. @returns The share of calls that waited too long for a place. */
+	/** Runs the simulation; if replicas are added, only until their first second is over. @returns The share of calls that waited too long for a slot. */
 	run(): number {
 		const {processes, announceEveryMs: gatherMs, random, addedReplicas: joining} = this.#wave;
 		const endsAt = joining ? joinAt + joinWatchMs : lengthMs;
@@ -110,7 +110,7 @@
 		return this.#waits.filter(wait => wait > lateMs).length / this.#waits.length;
 	}
 
-	/** What the replicas that were added got. Call it after `run`. */
+	/** Calls at the added replicas. Valid after `run`. */
 	get joined(): AddedReplicasOutcome {
 		const {replicas, addedReplicas: joining = 0} = this.#wave;
 		const {atJoined, elsewhere} = this.#callsOfFirstSecond;
@@ -218,7 +218,7 @@
 		});
 	}
 
-	/** Keeps what is to happen in order; the same moments in the order in which they were asked for. */
+	/** Inserts an event in the order of time; events at the same time stay in the order of insertion. */
 	#at(at: number, act: () => void) {
 		const before = this.#happenings.findLastIndex(happening => happening.at <= at);
 		this.#happenings.splice(before + 1, 0, {at, act});
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,23 +1,23 @@
 /**
-Shapes of the gateway: what operators declare, which replicas there are, and what a caller asks for. Nothing here knows how a platform spells them.
+Data types of the gateway: operators' configuration, registered replicas, and callers' requests. They are independent of the field names that a platform uses.
 */
 import type {Branded} from '../common/ids.js';
 
-/** A replica. It may start again under the same id; which start a record speaks of tells {@link ReplicaRecord.startedAt}. */
+/** A replica. It may restart under the same id; {@link ReplicaRecord.startedAt} identifies the start. */
 export type ReplicaId = Branded<string, 'ReplicaId'>;
 /** A service of the gateway's configuration. */
 export type GatewayServiceName = Branded<string, 'GatewayServiceName'>;
-/** One process of the gateway, in one of its starts or another. */
+/** One process of the gateway, across its restarts. */
 export type MemberName = Branded<string, 'MemberName'>;
-/** A batch job, as its caller named it. */
+/** A batch job, under the name that its caller gave it. */
 export type BatchJobId = Branded<string, 'BatchJobId'>;
-/** An item of a batch job, as its caller named it. */
+/** An item of a batch job, under the name that its caller gave it. */
 export type BatchItemId = Branded<string, 'BatchItemId'>;
 
-/** A customer of the operators: whose calls and jobs these are, by the API keys that it holds. */
+/** A customer of the operators. Its API keys identify its calls and jobs. */
 export type ClientAccountName = Branded<string, 'ClientAccountName'>;
 
-/** What may be repeated: `safe` calls always, `unsafe` ones never, `stream`s where the route says that they can be resumed. `batch` routes take jobs. */
+/** Whether calls may be repeated: `safe` ones always, `unsafe` ones never, `stream`s if the route declares that they can be resumed. `batch` routes accept jobs. */
 export type RouteKind = 'safe' | 'unsafe' | 'stream' | 'batch';
 
 /** A share of a route's calls that goes to one service. */
@@ -27,65 +27,65 @@
 	readonly weight: number;
 };
 
-/** What a route of kind `batch` allows. */
+/** Limits of a route of kind `batch`. */
 export type BatchTerms = {
 	/** Milliseconds from the job's submission until all results are due. */
 	readonly dueMs: number;
-	/** Milliseconds from the job's submission after which an item may be given up. */
+	/** Milliseconds from the job's submission after which an item may be abandoned. */
 	readonly giveUpMs: number;
-	/** Tokens that may wait on the route over all nodes; 0 for no limit. */
+	/** Maximum number of tokens waiting on the route, over all nodes; 0 for no limit. */
 	readonly maxWaitingTokens: number;
 };
 
-/** Where calls of a host and path go. */
+/** Where calls for a host and path are sent. */
 export type GatewayRoute = {
 	readonly name: string;
 	readonly host: string;
 	/** Begins and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly kind: RouteKind;
-	/** Milliseconds after which a call gets its final answer, whatever has happened. */
+	/** Milliseconds within which a call gets its final answer in any case. */
 	readonly timeoutMs: number;
-	/** Milliseconds within which an answer is on time. */
+	/** Latency target of an answer, in milliseconds. */
 	readonly latencyTargetMs: number;
-	/** Replicas that may run one call; for a batch item, runs that may fail. */
+	/** Maximum number of replicas that run one call; for a batch item, maximum number of failed runs. */
 	readonly maxRuns: number;
-	/** Whether a broken stream may be taken up again at another replica. */
+	/** Whether a broken stream may be resumed at another replica. */
 	readonly isResumable: boolean;
-	/** Whether calls without an API key are taken, where operators have declared accounts. */
+	/** Whether calls without an API key are accepted if operators have declared accounts. */
 	readonly isAnonymous: boolean;
-	/** Rank of its calls, 0 the highest. */
+	/** Priority rank of its calls; 0 is the highest. */
 	readonly priority: number;
 	readonly targets: readonly RouteTarget[];
 	readonly batch?: BatchTerms;
 };
 
-/** How many calls an account may make, over all processes together: a token bucket. */
+/** Rate limit of an account, over all processes together: a token bucket. */
 export type RateLimit = {
 	readonly perSecond: number;
-	/** Calls on top, after the account has been idle. */
+	/** Additional calls after the account has been idle. */
 	readonly burst: number;
 };
 
-/** A client account as operators declare it. */
+/** A client account as declared by operators. */
 export type ClientAccount = {
 	readonly name: ClientAccountName;
-	/** In clear; they are neither logged nor passed on. */
+	/** In clear text; they are neither logged nor forwarded. */
 	readonly accountKeys: readonly string[];
-	/** Rank of its calls, 0 the highest; goes before the route's. */
+	/** Priority rank of its calls; 0 is the highest. Takes precedence over the route's. */
 	readonly priority?: number;
-	/** Missing where the account has no limit. */
+	/** Omitted if the account has no limit. */
 	readonly rateLimit?: RateLimit;
 };
 
-/** A service that routes lead to. */
+/** A service that is the target of routes. */
 export type GatewayService = {
 	readonly name: GatewayServiceName;
-	/** Connections that one replica takes from all callers together. */
+	/** Maximum number of connections that one replica accepts, from all processes together. */
 	readonly maxConnections: number;
 };
 
-/** Bounds on what a caller may send. */
+/** Limits on callers' requests. */
 export type CallerLimits = {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
@@ -93,30 +93,30 @@
 	readonly idleTimeoutMs: number;
 };
 
-/** All that operators have declared, in one version. */
+/** One version of the operators' configuration. */
 export type GatewayConfig = {
-	/** Grows with every change, in uneven steps. */
+	/** Increases with every change, in uneven steps. */
 	readonly version: number;
 	readonly routes: readonly GatewayRoute[];
 	readonly services: readonly GatewayService[];
 	readonly limits: CallerLimits;
-	/** Missing where operators have declared none: then calls need no key and belong to nobody. */
+	/** Omitted if operators have declared none: calls then need no key and belong to no account. */
 	readonly accounts?: readonly ClientAccount[];
-	/** What could not be read of this version, by account; the rest of it holds. */
+	/** Invalid accounts of this version, with the reasons; the rest of the version is in force. */
 	readonly unreadableAccounts?: ReadonlyArray<{readonly name: string; readonly reason: string}>;
 };
 
-/** What a replica says of itself. */
+/** A replica's registration. */
 export type ReplicaRecord = {
 	readonly id: ReplicaId;
 	readonly service: GatewayServiceName;
 	/** `ip:port`. */
 	readonly address: string;
 	readonly failureDomain: string;
-	/** Requests that it runs at once. */
+	/** Number of requests that it runs at once. */
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** When it started, in milliseconds of its own wall clock. Two starts under one id differ in it, and are two replicas to whoever counts or remembers. Where it is missing, a replica never starts again under its id. */
+	/** Start time, in milliseconds of its own wall clock. Two starts under one id differ in it and are counted as two replicas. A replica without it never restarts under its id. */
 	readonly startedAt?: number;
 };
 
@@ -126,55 +126,55 @@
 	readonly tokens: number;
 };
 
-/** What the gateway reads of a caller's headers. */
+/** The fields of a caller's headers that the gateway reads. */
 export type CallFields = {
-	/** Each attempt of a caller has its own. Empty where the caller sent none. */
+	/** Unique for each attempt of a caller. Empty if the caller sent none. */
 	readonly requestId: string;
-	/** Milliseconds that the caller waits, counted from when it sent the call. */
+	/** Milliseconds for which the caller waits, counted from when it sent the call. */
 	readonly timeLeftMs?: number;
-	/** The last event that the caller has of a stream it takes up again. */
+	/** The last event that the caller has received of a stream that it resumes. */
 	readonly lastEventId?: number;
 	/** The prompt in order, the widest shared part first. */
 	readonly promptParts: readonly PromptPart[];
 };
 
-/** The API key that a call carries. `unusable`: there is something in its place, but not one key. */
+/** The API key of a call. `unusable`: the header is present, but does not contain exactly one key. */
 export type PresentedKey = {readonly kind: 'none'} | {readonly kind: 'unusable'} | {readonly kind: 'key'; readonly key: string};
 
-/** Whose a call is, where operators have declared accounts. */
+/** The owner of a call, if operators have declared accounts. */
 export type CallerIdentity = {
-	/** Missing for a call without a key on a route that takes such. */
+	/** Omitted for a call without a key on a route that accepts such calls. */
 	readonly account?: ClientAccountName;
 };
 
-/** What the gateway adds to a caller's headers for one attempt at a replica. */
+/** The fields that the gateway adds to a caller's headers for one attempt at a replica. */
 export type AttemptFields = {
 	readonly requestId: string;
-	/** The only replica that may run the call: an address may belong to another by now. */
+	/** The only replica that may run the call: its address may belong to another one by now. */
 	readonly replica: ReplicaId;
 	readonly timeLeftMs?: number;
 	readonly lastEventId?: number;
-	/** Where given, the caller's key is kept from the replica, and the account's name is the gateway's to tell. */
+	/** If given, the caller's key is not forwarded to the replica, and only the gateway sets the account's name. */
 	readonly caller?: CallerIdentity;
 };
 
-/** What the gateway reads of a replica's answer. */
+/** The fields of a replica's answer that the gateway reads. */
 export type AnswerFields = {
 	/** The call that the answer belongs to. */
 	readonly requestId?: string;
-	/** True when the replica states that it has not run the call and will not. */
+	/** True if the replica states that it has not run the call and will not run it. */
 	readonly hasNotRun: boolean;
 };
 
-/** How callers' and replicas' headers are spelled. */
+/** Reads and writes the headers of callers and replicas. */
 export type CallDialect = {
 	/** @param headers - Lower-case names. */
 	readCall(headers: NodeJS.Dict<string | string[]>): CallFields;
-	/** @param headers - The caller's, as names and values by turns. */
+	/** @param headers - The caller's headers, alternating names and values. */
 	readKey(headers: readonly string[]): PresentedKey;
 	/**
-	@param headers - The caller's, as names and values by turns.
-	@returns What the replica receives, likewise; without those that concern one connection only.
+	@param headers - The caller's headers, alternating names and values.
+	@returns The replica's headers in the same form, without hop-by-hop headers.
 	*/
 	toReplica(headers: readonly string[], fields: AttemptFields): string[];
 	/** @param headers - Lower-case names. */
