--- a/src/gateway/object-feed.ts
+++ b/src/gateway/object-feed.ts
@@ -39,20 +39,20 @@
 };
 
 /** Delay after a failed call, in milliseconds. Retries must not prolong an outage of the object API, and a change must be in force within about two seconds of its end. */
-const retryMs = 200;
+const retryDelayMs = 200;
 
 /** A read of the latest changes takes some milliseconds, and some hundred when the object API is slow; one that takes longer is stuck, as the watches are. */
-const syncPatienceMs = 250;
+const syncTimeoutMs = 250;
 
 /** Shortest outage in which an object can expire, in milliseconds: its writer must have missed two heartbeats of 1.2 s. A shorter gap between answers does not start another outage. */
-const leastLapseMs = 2000;
+const minOutageMs = 2000;
 
 /** The version of the last change of a batch. A removed object may carry the version of the change before its removal. */
-const lastChangeOf = (events: readonly WatchEvent[], answeredAt: Revision): Revision =>
+const lastRevisionOf = (events: readonly WatchEvent[], answeredAt: Revision): Revision =>
 	events.some(({type}) => type === 'delete') ? answeredAt : Math.max(...events.map(({version}) => version)) as Revision;
 
 /** Changes further apart than this do not belong to one burst, in milliseconds. */
-const calmMs = 1000;
+const burstGapMs = 1000;
 
 /** Caches the version and the times of one kind of object, and emits its lists and changes. */
 export class ObjectFeed implements Disposable {
@@ -62,19 +62,19 @@
 	readonly #events = new EventEmitter();
 	#revision: Revision | undefined;
 	#changedAt: Revision | undefined;
-	#isWaiting = false;
+	#isWatchPending = false;
 	#isDisposed = false;
-	#lostAt: number | undefined;
+	#outageStartedAt: number | undefined;
 	/** The first answer of the object API, to any call, during the current outage of this feed. */
-	#answer: ObjectApiAnswer | undefined;
-	#regainedAt = -Infinity;
+	#firstAnswer: ObjectApiAnswer | undefined;
+	#outageEndedAt = -Infinity;
 	#failedCallAt: number | undefined;
 	#failures = 0;
-	#paceMs = 0;
-	#growingPaceMs = 0;
-	#pacedAt = -Infinity;
-	#heardAt = -Infinity;
-	#knownAt = -Infinity;
+	#nextPauseMs = 0;
+	#currentPaceMs = 0;
+	#lastChangesAt = -Infinity;
+	#lastAnswerAt = -Infinity;
+	#currentAsOf = -Infinity;
 	#currentSync: Promise<boolean> | undefined;
 	#nextSync: Promise<boolean> | undefined;
 
@@ -83,7 +83,7 @@
 		this.#kind = kind;
 		this.#options = options;
 		parts.reachability?.onAnswer(answer => {
-			this.#noteContact(answer);
+			this.#recordApiAnswer(answer);
 		});
 	}
 
@@ -99,32 +99,32 @@
 
 	/** Whether a watch is waiting for a change; otherwise the next call is about to be sent. */
 	get isWatching(): boolean {
-		return this.#isWaiting;
+		return this.#isWatchPending;
 	}
 
 	/** Whether a call failed and none has succeeded since. */
 	get isUnreachable(): boolean {
-		return this.#lostAt !== undefined;
+		return this.#outageStartedAt !== undefined;
 	}
 
 	/** End of the last outage, in milliseconds on the monotonic clock: the first answer to any call of this process, which may precede this feed's own. `undefined` until this feed receives an answer. */
 	get outageEndedAt(): number | undefined {
-		return this.#lostAt === undefined ? this.#regainedAt : undefined;
+		return this.#outageStartedAt === undefined ? this.#outageEndedAt : undefined;
 	}
 
 	/** Start of the last call that failed before the end of the last outage, in milliseconds on the monotonic clock: the outage may have ended at that time already. `undefined` if unknown, and until this feed receives an answer. */
 	get failedCallAt(): number | undefined {
-		return this.#lostAt === undefined ? this.#failedCallAt : undefined;
+		return this.#outageStartedAt === undefined ? this.#failedCallAt : undefined;
 	}
 
 	/** Time of the last answer, including answers of a lagging copy; milliseconds on the monotonic clock. */
 	get heardAt(): number {
-		return this.#heardAt;
+		return this.#lastAnswerAt;
 	}
 
 	/** All changes made before this time have been received; milliseconds on the monotonic clock. An answer that was read late, after a pause of this process, counts from the time at which it can have arrived at the earliest. */
 	get currentAsOf(): number {
-		return this.#knownAt;
+		return this.#currentAsOf;
 	}
 
 	/** Number of consecutive failed calls in the last or current outage. */
@@ -144,7 +144,7 @@
 
 	/** Calls the listener with the time of each answer, in milliseconds on the monotonic clock, including answers without changes. */
 	onAnswer(listener: (at: number) => void): void {
-		this.#events.on('heard', listener);
+		this.#events.on('answer', listener);
 	}
 
 	/** Lists and watches until the feed is disposed. */
@@ -174,19 +174,19 @@
 	/**
 	Reads until objects that exist in the object API are cached. Watches may miss them for a while, around the time at which the object API discards its history; a list always returns them.
 
-	@param isThere - Whether the objects are cached.
+	@param isLoaded - Whether the objects are cached.
 	@returns Whether they are cached after the reads.
 	*/
-	async ensureLoaded(isThere: () => boolean): Promise<boolean> {
-		if (!isThere()) {
-			await Promise.race([this.sync(), this.#parts.clock.sleep(syncPatienceMs)]);
+	async ensureLoaded(isLoaded: () => boolean): Promise<boolean> {
+		if (!isLoaded()) {
+			await Promise.race([this.sync(), this.#parts.clock.sleep(syncTimeoutMs)]);
 		}
 
-		if (!isThere()) {
+		if (!isLoaded()) {
 			await this.#list();
 		}
 
-		return isThere();
+		return isLoaded();
 	}
 
 	dispose(): void {
@@ -196,8 +196,8 @@
 	async #follow() {
 		while (!this.#isDisposed) {
 			const isDone = this.#revision === undefined ? await this.#list() : await this.#watch(this.#revision);
-			const pauseMs = isDone ? this.#paceMs : retryMs;
-			this.#paceMs = 0;
+			const pauseMs = isDone ? this.#nextPauseMs : retryDelayMs;
+			this.#nextPauseMs = 0;
 			if (pauseMs > 0) {
 				await this.#parts.clock.sleep(pauseMs);
 			}
@@ -214,54 +214,54 @@
 
 	async #readOnce(options?: ReadOptions): Promise<boolean> {
 		const since = this.#revision;
-		const askedAt = this.#parts.clock.now();
+		const startedAt = this.#parts.clock.now();
 		if (since === undefined) {
 			return this.#list();
 		}
 
 		const batch = await this.#parts.api.watch([this.#kind], since, 0, options);
 		return batch.caseOf({
-			Left: err => this.#isKnownAfter(err),
-			Right: changes => this.#apply(changes, since, askedAt),
+			Left: err => this.#handleError(err),
+			Right: changes => this.#apply(changes, since, startedAt),
 		});
 	}
 
 	async #watch(since: Revision): Promise<boolean> {
 		const {waitMs, mayLag} = this.#options;
-		const {isUnreachable: isAway} = this;
-		const askedAt = this.#parts.clock.now();
-		this.#isWaiting = !isAway;
-		const batch = await this.#parts.api.watch([this.#kind], since, isAway ? 0 : waitMs, {mayLag});
-		this.#isWaiting = false;
+		const {isUnreachable} = this;
+		const startedAt = this.#parts.clock.now();
+		this.#isWatchPending = !isUnreachable;
+		const batch = await this.#parts.api.watch([this.#kind], since, isUnreachable ? 0 : waitMs, {mayLag});
+		this.#isWatchPending = false;
 		return batch.caseOf({
-			Left: err => this.#isKnownAfter(err),
+			Left: err => this.#handleError(err),
 			Right: changes => {
-				this.#apply(changes, since, this.#answeredAt(askedAt));
+				this.#apply(changes, since, this.#earliestAnswerAt(startedAt));
 				return true;
 			},
 		});
 	}
 
 	/** Discarded history is replaced by a new list; any other failure leaves the cached state as it is. */
-	#isKnownAfter(err: ApiError): boolean {
+	#handleError(err: ApiError): boolean {
 		if (err.kind === 'expired') {
 			this.#revision = undefined;
 			return false;
 		}
 
-		this.#noteFailure(err);
+		this.#recordFailure(err);
 		return false;
 	}
 
 	async #list(): Promise<boolean> {
 		const items: StoredObject[] = [];
-		const askedAt = this.#parts.clock.now();
+		const startedAt = this.#parts.clock.now();
 		let after: string | undefined;
 		let version: Revision | undefined;
 		do {
 			const page = await this.#parts.api.list(this.#kind, {after});
 			if (page.isLeft()) {
-				this.#noteFailure(page.extract());
+				this.#recordFailure(page.extract());
 				return false;
 			}
 
@@ -272,11 +272,11 @@
 			after = more ? found.at(-1)?.name : undefined;
 		} while (after !== undefined);
 
-		this.#noteAnswer();
-		this.#knownAt = Math.max(this.#knownAt, askedAt);
+		this.#recordAnswer();
+		this.#currentAsOf = Math.max(this.#currentAsOf, startedAt);
 		if (this.#revision === undefined || version === undefined || version >= this.#revision) {
 			this.#revision = version;
-			this.#noteChange(version);
+			this.#advanceChangedAt(version);
 			this.#events.emit('snapshot', items);
 		}
 
@@ -286,68 +286,68 @@
 	/**
 	Ignores an answer that another one has overtaken: its further changes are returned by the next watch, and a removal in it could undo a later creation under the same name.
 
-	@param knownAt - Earliest time at which the answer can have been given, in milliseconds on the monotonic clock.
+	@param earliestAt - Earliest time at which the answer can have been given, in milliseconds on the monotonic clock.
 	@returns Whether the state covers the answer.
 	*/
-	#apply({events, version}: WatchBatch, since: Revision, knownAt: number): boolean {
-		this.#noteAnswer();
+	#apply({events, version}: WatchBatch, since: Revision, earliestAt: number): boolean {
+		this.#recordAnswer();
 		if (this.#revision !== since) {
 			return this.#revision !== undefined && version <= this.#revision;
 		}
 
-		this.#knownAt = Math.max(this.#knownAt, knownAt);
+		this.#currentAsOf = Math.max(this.#currentAsOf, earliestAt);
 		this.#revision = Math.max(version, since, events.at(-1)?.version ?? 0) as Revision;
 		if (events.length > 0) {
-			this.#pace();
-			this.#noteChange(lastChangeOf(events, version));
+			this.#updatePace();
+			this.#advanceChangedAt(lastRevisionOf(events, version));
 			this.#events.emit('changes', events);
 		}
 
 		return true;
 	}
 
-	#pace() {
-		const {paceMs = 0, maxPaceMs: mostPaceMs = paceMs} = this.#options;
+	#updatePace() {
+		const {paceMs = 0, maxPaceMs = paceMs} = this.#options;
 		const now = this.#parts.clock.now();
-		this.#growingPaceMs = now - this.#pacedAt > calmMs ? paceMs : Math.min(mostPaceMs, this.#growingPaceMs + paceMs);
-		this.#pacedAt = now;
-		this.#paceMs = this.#growingPaceMs;
+		this.#currentPaceMs = now - this.#lastChangesAt > burstGapMs ? paceMs : Math.min(maxPaceMs, this.#currentPaceMs + paceMs);
+		this.#lastChangesAt = now;
+		this.#nextPauseMs = this.#currentPaceMs;
 	}
 
-	#answeredAt(askedAt: number): number {
-		return Math.max(askedAt, this.#parts.progress?.readUntil ?? askedAt);
+	#earliestAnswerAt(startedAt: number): number {
+		return Math.max(startedAt, this.#parts.progress?.readUntil ?? startedAt);
 	}
 
-	#noteChange(at: Revision | undefined) {
+	#advanceChangedAt(at: Revision | undefined) {
 		this.#changedAt = Math.max(this.#changedAt ?? 0, at ?? 0) as Revision;
 	}
 
-	#noteAnswer() {
+	#recordAnswer() {
 		const {clock, log} = this.#parts;
-		this.#heardAt = clock.now();
-		this.#events.emit('heard', this.#heardAt);
-		if (this.#lostAt !== undefined) {
-			this.#regainedAt = this.#answer?.at ?? this.#heardAt;
-			this.#failedCallAt = this.#answer?.failedCallAt;
+		this.#lastAnswerAt = clock.now();
+		this.#events.emit('answer', this.#lastAnswerAt);
+		if (this.#outageStartedAt !== undefined) {
+			this.#outageEndedAt = this.#firstAnswer?.at ?? this.#lastAnswerAt;
+			this.#failedCallAt = this.#firstAnswer?.failedCallAt;
 			log.emit(gatewayEvents.feedRegained, {
-				kind: this.#kind, revision: this.#revision, awayMs: Math.round(this.#heardAt - this.#lostAt), lateMs: Math.round(this.#heardAt - this.#regainedAt),
+				kind: this.#kind, revision: this.#revision, awayMs: Math.round(this.#lastAnswerAt - this.#outageStartedAt), lateMs: Math.round(this.#lastAnswerAt - this.#outageEndedAt),
 			});
-			this.#lostAt = undefined;
+			this.#outageStartedAt = undefined;
 		}
 	}
 
-	#noteContact(answer: ObjectApiAnswer) {
-		if (this.#lostAt !== undefined && (this.#answer === undefined || answer.silentMs >= leastLapseMs)) {
-			this.#answer = answer;
+	#recordApiAnswer(answer: ObjectApiAnswer) {
+		if (this.#outageStartedAt !== undefined && (this.#firstAnswer === undefined || answer.silentMs >= minOutageMs)) {
+			this.#firstAnswer = answer;
 		}
 	}
 
-	#noteFailure(err: ApiError) {
+	#recordFailure(err: ApiError) {
 		this.#failures += 1;
-		if (this.#lostAt === undefined) {
+		if (this.#outageStartedAt === undefined) {
 			this.#failures = 1;
-			this.#lostAt = this.#parts.clock.now();
-			this.#answer = undefined;
+			this.#outageStartedAt = this.#parts.clock.now();
+			this.#firstAnswer = undefined;
 			this.#parts.log.emit(gatewayEvents.feedLost, {kind: this.#kind, reason: 'reason' in err ? err.reason : err.kind});
 		}
 	}
--- a/src/gateway/online-call.ts
+++ b/src/gateway/online-call.ts
@@ -35,28 +35,28 @@
 };
 
 /** A repeatable call is sent to another replica if no byte arrives for this long, in milliseconds. A queue at an engine clears within about one run, 0.8 s; callers abandon a stream after 2 s. */
-const repeatableSilenceMs = 1200;
+const repeatableSilenceTimeoutMs = 1200;
 
 /** Maximum number of replicas that one call is offered to while each declines it or cannot be reached. */
 const maxOffers = 4;
 
 /** With less time left than this, in milliseconds, the call is offered to no replica: the answer could not reach the caller in time. */
-const leastTimeMs = 10;
+const minTimeLeftMs = 10;
 
 /** Delays after which a caller is to retry, in milliseconds: by then, a replica may have been registered, or slots may have become free. */
-const comeBackMs = {noReplica: 500, full: 300} as const;
+const retryDelaysMs = {noReplica: 500, full: 300} as const;
 
 /** Why a call is offered to no further replica. */
 type GiveUpReason = 'noReplica' | 'full' | 'quarantined';
 
-type Pass = {
+type KindTraits = {
 	/** Whether a broken run may be followed by another one. */
 	readonly isRepeatable: (route: GatewayRoute) => boolean;
 	/** Whether the answer is a series of events. */
 	readonly isStream: boolean;
 };
 
-const passes: Readonly<Record<RouteKind, Pass>> = {
+const traitsByKind: Readonly<Record<RouteKind, KindTraits>> = {
 	safe: {isRepeatable: () => true, isStream: false},
 	unsafe: {isRepeatable: () => false, isStream: false},
 	stream: {isRepeatable: route => route.isResumable, isStream: true},
@@ -81,20 +81,20 @@
 	#runHead: AnswerHead | undefined;
 	/** The event after which the current run was asked to resume. */
 	#resumeAfter: number | undefined;
-	#giveBackPlace: (() => void) | undefined;
+	#releaseSlot: (() => void) | undefined;
 	#offers = 0;
 	/** Number of runs that count towards the route's limit. */
 	#runs = 0;
 	/** Whether any replica may have started to run the call. */
 	#mayHaveRun = false;
-	#isOver = false;
+	#hasEnded = false;
 	#firstByteMs = 0;
 	#sentAt = 0;
 	/** Whether the call's replica had a free slot when the call was sent. */
-	#hasFoundPlace = false;
+	#hadFreeSlot = false;
 	#lastEnd: AttemptEnd['kind'] | undefined;
 	/** Whether a connection of the call was unresponsive: other kept-alive connections may be too, even those to other replicas. */
-	#hasMetSilence = false;
+	#needsNewConnection = false;
 
 	readonly #onAttemptEnd: EndHandlers = {
 		notSent: (_end, replica) => {
@@ -103,7 +103,7 @@
 		},
 		refused: (_end, replica) => {
 			if (replica.total <= replica.record.slots) {
-				this.#noteOutcome(replica, true);
+				this.#recordOutcome(replica, true);
 			}
 
 			this.#offer();
@@ -115,22 +115,22 @@
 		},
 		silent: (_end, replica) => {
 			replica.noteFailure(this.#parts.clock.now());
-			this.#noteOutcome(replica, true);
-			this.#hasMetSilence = true;
-			this.#afterBreak(replica);
+			this.#recordOutcome(replica, true);
+			this.#needsNewConnection = true;
+			this.#handleBrokenRun(replica);
 		},
 		cutOff: (_end, replica) => {
-			this.#hasMetSilence = true;
-			this.#afterBreak(replica);
+			this.#needsNewConnection = true;
+			this.#handleBrokenRun(replica);
 		},
 		lost: (_end, replica) => {
-			this.#noteOutcome(replica, true);
-			void this.#afterLoss(replica);
+			this.#recordOutcome(replica, true);
+			void this.#handleLostConnection(replica);
 		},
 		complete: (_end, replica) => {
 			replica.noteAnswer();
 			const isSuccess = this.#runStatus < 300;
-			this.#noteOutcome(replica, this.#runStatus >= 500 || (isSuccess && !this.#answer.isComplete));
+			this.#recordOutcome(replica, this.#runStatus >= 500 || (isSuccess && !this.#answer.isComplete));
 			this.#finish(replica);
 		},
 		outdated: (_end, replica) => {
@@ -144,8 +144,8 @@
 		this.#parts = parts;
 		this.#call = call;
 		const {route, fields} = call;
-		this.#isRepeatable = passes[route.kind].isRepeatable(route);
-		this.#answer = new CallerAnswer(call.res, {isRepeatable: this.#isRepeatable, isStream: passes[route.kind].isStream, lastEventId: fields.lastEventId});
+		this.#isRepeatable = traitsByKind[route.kind].isRepeatable(route);
+		this.#answer = new CallerAnswer(call.res, {isRepeatable: this.#isRepeatable, isStream: traitsByKind[route.kind].isStream, lastEventId: fields.lastEventId});
 		this.#content = new TrackedContent(parts, 'online', {...call.message, host: route.host});
 		this.#service = this.#chooseService(route);
 		this.#timeLimitMs = Math.min(route.timeoutMs, fields.timeLeftMs ?? Infinity);
@@ -168,7 +168,7 @@
 		const waitMs = serviceTimes.waitMs(this.#service, directory.takingWork(this.#service));
 		const leftMs = (this.#timeLimitMs - this.#elapsedMs()) * ranks.waitShareOf(this.#service, rank);
 		if (waitMs > leftMs) {
-			this.#refuse('hopeless', Math.max(comeBackMs.full, waitMs - leftMs));
+			this.#refuse('hopeless', Math.max(retryDelaysMs.full, waitMs - leftMs));
 			return;
 		}
 
@@ -181,11 +181,11 @@
 	}
 
 	#chooseService({targets}: GatewayRoute): GatewayServiceName {
-		const all = targets.reduce((sum, {weight}) => sum + weight, 0);
-		let left = this.#parts.random.next() * all;
+		const totalWeight = targets.reduce((sum, {weight}) => sum + weight, 0);
+		let remainingWeight = this.#parts.random.next() * totalWeight;
 		const chosen = targets.find(({weight}) => {
-			left -= weight;
-			return left < 0;
+			remainingWeight -= weight;
+			return remainingWeight < 0;
 		});
 		return (chosen ?? targets[0])?.service ?? ('' as GatewayServiceName);
 	}
@@ -200,7 +200,7 @@
 	}
 
 	#offer() {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return;
 		}
 
@@ -216,11 +216,11 @@
 		}
 
 		const timeLeftMs = this.#timeLimitMs - this.#elapsedMs();
-		const replica = this.#offers < maxOffers && timeLeftMs > leastTimeMs ? this.#choose() : undefined;
-		const connection = replica && this.#parts.connectionPools.acquire(replica, this.#hasMetSilence);
+		const replica = this.#offers < maxOffers && timeLeftMs > minTimeLeftMs ? this.#choose() : undefined;
+		const connection = replica && this.#parts.connectionPools.acquire(replica, this.#needsNewConnection);
 		if (!replica || !connection) {
 			const reason = this.#offers === 0 ? 'noReplica' : 'full';
-			this.#giveUp(reason, comeBackMs[reason]);
+			this.#giveUp(reason, retryDelaysMs[reason]);
 			return;
 		}
 
@@ -235,15 +235,15 @@
 	}
 
 	#choose(): Replica | undefined {
-		const {clock, random, failureDomain, directory, processCount: sharers} = this.#parts;
+		const {clock, random, failureDomain, directory, processCount} = this.#parts;
 		return chooseForOnline(directory.takingWork(this.#service), {
-			now: clock.now(), random, failureDomain, tried: this.#tried, processCount: sharers(), canFailOver: this.#isRepeatable,
+			now: clock.now(), random, failureDomain, tried: this.#tried, processCount: processCount(), canFailOver: this.#isRepeatable,
 		});
 	}
 
 	#send(replica: Replica, connection: ReplicaConnection, timeLeftMs: number) {
 		const {
-			log, loads, dialect, reachability: contacts, clock,
+			log, loads, dialect, reachability, clock,
 		} = this.#parts;
 		const {fields, message, route} = this.#call;
 		log.emit(gatewayEvents.callRouted, {
@@ -253,11 +253,11 @@
 		const {lastEventId = 0} = this.#answer;
 		this.#resumeAfter = lastEventId > 0 ? lastEventId : fields.lastEventId;
 		this.#sentAt = clock.now();
-		this.#hasFoundPlace = replica.total < replica.record.slots;
-		this.#giveBackPlace = loads.acquireSlot(replica, 'online');
+		this.#hadFreeSlot = replica.total < replica.record.slots;
+		this.#releaseSlot = loads.acquireSlot(replica, 'online');
 		this.#attempt = new Attempt({
 			connection,
-			reachability: contacts.of(replica),
+			reachability: reachability.of(replica),
 			clock,
 			dialect,
 			message,
@@ -268,7 +268,7 @@
 				lastEventId: this.#resumeAfter,
 				caller: this.#call.caller.identity,
 			},
-			timeouts: {silenceMs: this.#isRepeatable ? repeatableSilenceMs : this.#timeLimitMs, canGoElsewhere: this.#isRepeatable},
+			timeouts: {silenceMs: this.#isRepeatable ? repeatableSilenceTimeoutMs : this.#timeLimitMs, canGoElsewhere: this.#isRepeatable},
 			isEligible: () => isEligible(this.#parts, replica),
 			listener: {
 				onHead: head => {
@@ -296,8 +296,8 @@
 	}
 
 	#onEnd(end: AttemptEnd, replica: Replica) {
-		this.#giveBackPlace?.();
-		this.#giveBackPlace = undefined;
+		this.#releaseSlot?.();
+		this.#releaseSlot = undefined;
 		this.#lastEnd = end.kind;
 		if (end.kind !== 'complete' && end.kind !== 'dropped') {
 			this.#parts.log.emit(gatewayEvents.attemptFailed, {
@@ -306,43 +306,43 @@
 		}
 
 		if (this.#offers > 1) {
-			this.#logLaterRun(end, replica);
+			this.#logRerun(end, replica);
 		}
 
-		if (!this.#isOver) {
+		if (!this.#hasEnded) {
 			(this.#onAttemptEnd[end.kind] as (end: AttemptEnd, replica: Replica) => void)(end, replica);
 		}
 	}
 
-	#logLaterRun(end: AttemptEnd, replica: Replica) {
+	#logRerun(end: AttemptEnd, replica: Replica) {
 		const head = this.#runHead;
 		this.#parts.log.emit(gatewayEvents.rerunEnded, {
 			id: this.#call.fields.requestId, replica: replica.record.id, status: this.#runStatus, contentType: head?.headers['content-type'], isFramed: head?.isFramed, resumeAfter: this.#resumeAfter, lastEventId: this.#answer.lastEventId, outcome: end.kind,
 		});
 	}
 
-	#noteOutcome(replica: Replica, hasFailed: boolean) {
+	#recordOutcome(replica: Replica, hasFailed: boolean) {
 		replica.outcomes.note(hasFailed, this.#parts.clock.now());
 	}
 
-	/** A call during which a replica has terminated before is rerun only after it is known whether this replica has terminated too, since the call may be the cause. Other calls are rerun without delay. */
-	async #afterLoss(replica: Replica) {
+	/** A call during which a replica has terminated before is rerun only after a check whether this replica has terminated too, since the call may be the cause. Other calls are rerun without delay. */
+	async #handleLostConnection(replica: Replica) {
 		const isNoted = this.#content.noteConnectionLost(replica);
 		if (this.#content.isSuspected) {
 			await isNoted;
 		}
 
-		if (!this.#isOver) {
-			this.#afterBreak(replica);
+		if (!this.#hasEnded) {
+			this.#handleBrokenRun(replica);
 		}
 	}
 
 	/** The replica may have run the call, and its answer is incomplete. */
-	#afterBreak(replica: Replica, reason = 'the replica broke off') {
+	#handleBrokenRun(replica: Replica, reason = 'the replica broke off') {
 		this.#mayHaveRun = true;
 		this.#countRun(replica);
 		this.#answer.discardUnsent();
-		if (this.#mayRunAgain()) {
+		if (this.#canRerun()) {
 			this.#offer();
 			return;
 		}
@@ -357,21 +357,21 @@
 		}
 	}
 
-	#mayRunAgain(): boolean {
+	#canRerun(): boolean {
 		return this.#isRepeatable && this.#answer.canResume && this.#runs < this.#call.route.maxRuns;
 	}
 
 	#finish(replica: Replica) {
 		const status = this.#runStatus;
 		if (!this.#answer.isComplete) {
-			this.#afterBreak(replica, 'the run did not finish the stream');
+			this.#handleBrokenRun(replica, 'the run did not finish the stream');
 			return;
 		}
 
 		if (status >= 500 && !this.#answer.hasBegun && this.#isRepeatable) {
 			this.#mayHaveRun = true;
 			this.#countRun(replica);
-			if (this.#mayRunAgain() && this.#hasOtherReplica()) {
+			if (this.#canRerun() && this.#hasOtherReplica()) {
 				this.#answer.discardUnsent();
 				this.#offer();
 				return;
@@ -383,11 +383,11 @@
 			this.#content.noteCompleted();
 		}
 
-		if (this.#hasFoundPlace && status < 300 && this.#runs === 0) {
+		if (this.#hadFreeSlot && status < 300 && this.#runs === 0) {
 			this.#parts.serviceTimes.recordDuration(this.#service, this.#parts.clock.now() - this.#sentAt);
 		}
 
-		this.#endWith(status, 'answered');
+		this.#end(status, 'answered');
 	}
 
 	#hasOtherReplica(): boolean {
@@ -395,24 +395,24 @@
 	}
 
 	/** The call is offered to no further replica. A refusal states that the call has not run, so it is not used once any replica may have run it, even if that replica has terminated since. */
-	#giveUp(reason: GiveUpReason, afterMs: number) {
+	#giveUp(reason: GiveUpReason, retryDelayMs: number) {
 		if (this.#mayHaveRun) {
 			this.#fail(reason === 'quarantined' ? 'it has ended the replicas that ran it' : 'no replica is left for another run');
 			return;
 		}
 
-		this.#refuse(reason, afterMs);
+		this.#refuse(reason, retryDelayMs);
 	}
 
-	#refuse(reason: string, afterMs: number) {
+	#refuse(reason: string, retryDelayMs: number) {
 		if (this.#answer.hasBegun) {
 			this.#cut(reason);
 			return;
 		}
 
 		this.#call.caller.credit?.refund();
-		this.#answer.reply(503, {'retry-after': String(Math.ceil(afterMs) / 1000)});
-		this.#endWith(503, reason);
+		this.#answer.reply(503, {'retry-after': String(Math.ceil(retryDelayMs) / 1000)});
+		this.#end(503, reason);
 	}
 
 	#fail(reason: string) {
@@ -422,17 +422,17 @@
 		}
 
 		this.#answer.reply(502);
-		this.#endWith(502, reason);
+		this.#end(502, reason);
 	}
 
 	/** Part of the answer has been forwarded; only a broken connection shows the caller that the rest will not follow. */
 	#cut(reason: string) {
 		this.#answer.cut();
-		this.#endWith(0, reason);
+		this.#end(0, reason);
 	}
 
 	#timeOut() {
-		if (this.#isOver) {
+		if (this.#hasEnded) {
 			return;
 		}
 
@@ -443,16 +443,16 @@
 		}
 
 		this.#answer.reply(504);
-		this.#endWith(504, 'time is up');
+		this.#end(504, 'time is up');
 	}
 
 	#onCallerClose() {
-		if (!this.#isOver) {
-			this.#endWith(0, 'the caller left');
+		if (!this.#hasEnded) {
+			this.#end(0, 'the caller left');
 		}
 	}
 
-	#endWith(status: number, reason: string) {
+	#end(status: number, reason: string) {
 		const {log, metrics} = this.#parts;
 		const {fields, route} = this.#call;
 		const elapsedMs = Math.round(this.#elapsedMs());
@@ -466,7 +466,7 @@
 	}
 
 	#close() {
-		this.#isOver = true;
+		this.#hasEnded = true;
 		clearTimeout(this.#timer);
 		this.#attempt?.dispose();
 	}
--- a/src/gateway/readiness.ts
+++ b/src/gateway/readiness.ts
@@ -21,7 +21,7 @@
 /** The readiness check; it logs each change. */
 export class Readiness {
 	readonly #parts: ReadinessParts;
-	#told: NotReadyReason | undefined;
+	#lastLoggedReason: NotReadyReason | undefined;
 
 	constructor(parts: ReadinessParts) {
 		this.#parts = parts;
@@ -29,8 +29,8 @@
 
 	get isReady(): boolean {
 		const reason = this.#reason();
-		if (reason !== this.#told) {
-			this.#told = reason;
+		if (reason !== this.#lastLoggedReason) {
+			this.#lastLoggedReason = reason;
 			this.#parts.log.emit(gatewayEvents.readinessChanged, {ready: reason === '', reason});
 		}
 
--- a/src/gateway/registration-age.ts
+++ b/src/gateway/registration-age.ts
@@ -14,10 +14,10 @@
 };
 
 /** The age of a replica's registration at this moment. */
-export const registrationAge = ({directory, clock}: {readonly directory: ReplicaDirectory; readonly clock: Clock}, {missingSince: missedAt}: Replica): RegistrationAge => {
+export const registrationAge = ({directory, clock}: {readonly directory: ReplicaDirectory; readonly clock: Clock}, {missingSince}: Replica): RegistrationAge => {
 	const now = clock.now();
 	return {
 		heardMs: Math.round(now - directory.heardAt),
-		missedMs: missedAt === undefined ? undefined : Math.round(now - missedAt),
+		missedMs: missingSince === undefined ? undefined : Math.round(now - missingSince),
 	};
 };
--- a/src/gateway/registration-controller.steps.ts
+++ b/src/gateway/registration-controller.steps.ts
@@ -23,14 +23,14 @@
 	relay: ObjectRelay;
 	directory: ReplicaDirectory;
 	/** When the object API recovered, in milliseconds of `performance.now()`. */
-	backAt: number;
+	recoveredAt: number;
 };
 
 const log: EventLog = {emit: () => undefined};
 const clock = new SystemClock();
 
 /** Long enough for several consecutive calls to fail, in milliseconds. */
-const awayMs = 1200;
+const outageMs = 1200;
 
 const sleep = async (ms: number) => new Promise(resolve => {
 	setTimeout(resolve, ms);
@@ -39,7 +39,7 @@
 const listOf = (names: string): string[] => names.split(', ');
 
 /** While the object API is unavailable, the relay probes it directly, and so detects its recovery. */
-const untilTried = async ({api}: RegistrationsWorld) => {
+const untilProbed = async ({api}: RegistrationsWorld) => {
 	const lists = api.calls.list;
 	await until(() => api.calls.list > lists, 'the object API is probed');
 };
@@ -67,7 +67,7 @@
 
 When('the object API is unavailable, and {string} is removed meanwhile', async function (this: RegistrationsWorld, name: string) {
 	this.api.down = true;
-	await sleep(awayMs);
+	await sleep(outageMs);
 	this.api.down = false;
 	await this.api.remove('Registration', name);
 	this.api.down = true;
@@ -79,28 +79,28 @@
 		api.down = kind === 'Registration';
 	};
 
-	this.backAt = performance.now();
+	this.recoveredAt = performance.now();
 	await sleep(ms);
 	api.beforeCall = undefined;
 	api.down = false;
 });
 
 When('it recovers {int} ms after it was probed, and the process is paused for {int} ms', async function (this: RegistrationsWorld, ms: number, pauseMs: number) {
-	await untilTried(this);
+	await untilProbed(this);
 	await sleep(ms);
 	this.api.down = false;
-	this.backAt = performance.now();
+	this.recoveredAt = performance.now();
 	pauseProcess(pauseMs);
 });
 
 When('the object API is unavailable, answers once, and is unavailable for {int} ms more', async function (this: RegistrationsWorld, ms: number) {
 	this.api.down = true;
-	await sleep(awayMs);
+	await sleep(outageMs);
 	this.api.beforeCall = (_call, kind) => {
 		this.api.down = kind === 'Registration';
 	};
 
-	await untilTried(this);
+	await untilProbed(this);
 	this.api.beforeCall = undefined;
 	this.api.down = true;
 	await sleep(ms);
@@ -115,8 +115,8 @@
 
 Then('the process has cached {string} within {int} ms of the object API\'s recovery', async function (this: RegistrationsWorld, names: string, ms: number) {
 	await until(() => registeredReplicas(this.directory).join(', ') === names, `only ${names} are cached`);
-	const lateMs = performance.now() - this.backAt;
-	assert.ok(lateMs <= ms, `${Math.round(lateMs)} ms`);
+	const elapsedMs = performance.now() - this.recoveredAt;
+	assert.ok(elapsedMs <= ms, `${Math.round(elapsedMs)} ms`);
 });
 
 Then('the process has {string} cached for {int} ms more', async function (this: RegistrationsWorld, names: string, ms: number) {
--- a/src/gateway/registration-controller.ts
+++ b/src/gateway/registration-controller.ts
@@ -19,16 +19,16 @@
 const graceAfterOutageMs = 2100;
 
 /** Time within which a process that was cut off must have stopped sending to replicas that have left, in milliseconds from when it could reach the object API again. A process that was paused at that time receives the first answer late. */
-const contactMs = 3000;
+const reconnectDeadlineMs = 3000;
 
 /** Longest time between the choice of a replica and the arrival of the call there, in milliseconds: a round trip between failure domains for the connection, and one more way for the call. */
-const travelMs = 100;
+const maxTransitMs = 100;
 
 /** A single failed call of the object API between two successful ones is a lost connection, and too short for registrations to expire. */
-const leastFailuresOfOutage = 2;
+const minOutageFailures = 2;
 
 /** Missing registrations up to this share of all are not a mass expiry: single replicas have left. */
-const shareOfLapse = 1 / 3;
+const massExpiryShare = 1 / 3;
 
 /** Dependencies of the controller. */
 export type RegistrationControllerParts = {
@@ -44,71 +44,71 @@
 /** Applies the registrations' lists and changes to the directory. */
 export class RegistrationController implements Disposable {
 	readonly #parts: RegistrationControllerParts;
-	readonly #missed = new Map<ReplicaId, NodeJS.Timeout>();
+	readonly #graceTimers = new Map<ReplicaId, NodeJS.Timeout>();
 	/** Why registrations are invalid, by name. Each reason is logged once, although every list contains the record again. */
 	readonly #unreadable = new Map<string, string>();
 	/** Names of registrations that have contained a start time. */
-	readonly #tellStart = new Set<string>();
+	readonly #withStartTime = new Set<string>();
 
 	constructor(parts: RegistrationControllerParts) {
 		this.#parts = parts;
 		parts.feed.onSnapshot(items => {
-			this.#takeSnapshot(items);
+			this.#applySnapshot(items);
 		});
 		parts.feed.onChanges(events => {
-			this.#takeChanges(events);
+			this.#applyChanges(events);
 		});
 		parts.feed.onAnswer(at => {
 			parts.directory.heardAt = at;
 		});
-		parts.directory.onChange(({replica: {record, missingSince: missedAt}, change}) => {
+		parts.directory.onChange(({replica: {record, missingSince}, change}) => {
 			parts.log.emit(gatewayEvents.replicaChanged, {
-				replica: record.id, service: record.service, address: record.address, change, missedMs: missedAt === undefined ? undefined : Math.round(parts.clock.now() - missedAt),
+				replica: record.id, service: record.service, address: record.address, change, missedMs: missingSince === undefined ? undefined : Math.round(parts.clock.now() - missingSince),
 			});
 		});
 	}
 
 	dispose(): void {
-		this.#missed.forEach(timer => {
+		this.#graceTimers.forEach(timer => {
 			clearTimeout(timer);
 		});
-		this.#missed.clear();
+		this.#graceTimers.clear();
 	}
 
-	#takeSnapshot(items: readonly StoredObject[]) {
+	#applySnapshot(items: readonly StoredObject[]) {
 		const {directory} = this.#parts;
 		const present = new Set(items.map(({name}) => name));
 		const missing = [...directory.all].map(({record}) => record.id).filter(id => !present.has(id));
 		[...this.#unreadable.keys()].filter(name => !present.has(name)).forEach(name => {
 			this.#unreadable.delete(name);
 		});
-		[...this.#tellStart].filter(name => !present.has(name)).forEach(name => {
-			this.#tellStart.delete(name);
+		[...this.#withStartTime].filter(name => !present.has(name)).forEach(name => {
+			this.#withStartTime.delete(name);
 		});
 		this.#putAll(items);
 		this.#removeAll(missing);
 	}
 
-	#takeChanges(events: readonly WatchEvent[]) {
+	#applyChanges(events: readonly WatchEvent[]) {
 		// A registration that expired and was written again within the same batch is not missing.
-		const last = new Map(events.map(event => [event.name, event]));
-		const news = [...last.values()];
-		const gone = news.filter(({type}) => type === 'delete').map(({name}) => name);
-		gone.forEach(name => {
+		const lastByName = new Map(events.map(event => [event.name, event]));
+		const latest = [...lastByName.values()];
+		const deletedNames = latest.filter(({type}) => type === 'delete').map(({name}) => name);
+		deletedNames.forEach(name => {
 			this.#unreadable.delete(name);
-			this.#tellStart.delete(name);
+			this.#withStartTime.delete(name);
 		});
-		this.#putAll(news.filter(({type}) => type === 'put'));
-		this.#removeAll(gone.map(name => branded<ReplicaId>(name)));
+		this.#putAll(latest.filter(({type}) => type === 'put'));
+		this.#removeAll(deletedNames.map(name => branded<ReplicaId>(name)));
 	}
 
 	#putAll(entries: ReadonlyArray<{readonly name: string; readonly value?: unknown}>) {
 		const {records} = this.#parts;
 		entries.forEach(({name, value}) => {
 			records.readReplica(name, value)
-				.chain(record => this.#withStart(name, record))
+				.chain(record => this.#requireStartTime(name, record))
 				.ifLeft(reason => {
-					this.#drop(name, reason);
+					this.#removeInvalid(name, reason);
 				})
 				.ifRight(record => {
 					this.#put(record);
@@ -119,78 +119,78 @@
 	/**
 	A replica that has announced its start time always does, so a record of it without one was not written by the replica. This does not apply to other replicas: during a rollout, some announce it and some do not, and one record must not empty a service.
 	*/
-	#withStart(name: string, record: ReplicaRecord): Either<string, ReplicaRecord> {
+	#requireStartTime(name: string, record: ReplicaRecord): Either<string, ReplicaRecord> {
 		if (record.startedAt !== undefined) {
-			this.#tellStart.add(name);
+			this.#withStartTime.add(name);
 			return Right(record);
 		}
 
-		return this.#tellStart.has(name) ? Left('the start time is missing, although earlier records of the replica had one') : Right(record);
+		return this.#withStartTime.has(name) ? Left('the start time is missing, although earlier records of the replica had one') : Right(record);
 	}
 
 	#put(record: ReplicaRecord) {
 		this.#unreadable.delete(record.id);
-		this.#forgive(record.id);
+		this.#clearMissing(record.id);
 		this.#parts.directory.put(record);
 	}
 
 	/** Removes the replica of an invalid registration. */
-	#drop(name: string, reason: string) {
+	#removeInvalid(name: string, reason: string) {
 		if (this.#unreadable.get(name) !== reason) {
 			this.#unreadable.set(name, reason);
 			this.#parts.log.emit(gatewayEvents.registrationUnreadable, {name, reason});
 		}
 
 		const id = branded<ReplicaId>(name);
-		this.#forgive(id);
+		this.#clearMissing(id);
 		this.#parts.directory.remove(id);
 	}
 
 	#removeAll(ids: readonly ReplicaId[]) {
 		const graceMs = this.#graceLeftMs();
-		const haveLapsed = this.#parts.feed.lastOutageFailures >= leastFailuresOfOutage || ids.length > shareOfLapse * this.#parts.directory.size;
+		const haveExpired = this.#parts.feed.lastOutageFailures >= minOutageFailures || ids.length > massExpiryShare * this.#parts.directory.size;
 		ids.forEach(id => {
-			if (haveLapsed && graceMs > 0) {
-				this.#keepFor(id, graceMs);
+			if (haveExpired && graceMs > 0) {
+				this.#retainFor(id, graceMs);
 			} else {
-				this.#forgive(id);
+				this.#clearMissing(id);
 				this.#parts.directory.remove(id);
 			}
 		});
 	}
 
-	#keepFor(id: ReplicaId, graceMs: number) {
+	#retainFor(id: ReplicaId, graceMs: number) {
 		const {directory, clock, log} = this.#parts;
 		const replica = directory.get(id);
-		if (this.#missed.has(id) || !replica) {
+		if (this.#graceTimers.has(id) || !replica) {
 			return;
 		}
 
 		replica.missingSince = clock.now();
 		log.emit(gatewayEvents.registrationMissing, {replica: id, graceMs: Math.round(graceMs)});
 		const timer = setTimeout(() => {
-			this.#missed.delete(id);
+			this.#graceTimers.delete(id);
 			directory.remove(id);
 		}, graceMs);
-		this.#missed.set(id, timer);
+		this.#graceTimers.set(id, timer);
 	}
 
-	#forgive(id: ReplicaId) {
+	#clearMissing(id: ReplicaId) {
 		const replica = this.#parts.directory.get(id);
 		if (replica) {
 			replica.missingSince = undefined;
 		}
 
-		clearTimeout(this.#missed.get(id));
-		this.#missed.delete(id);
+		clearTimeout(this.#graceTimers.get(id));
+		this.#graceTimers.delete(id);
 	}
 
 	/** A registration whose removal is received after the outage's end may have expired late, or its replica may be leaving, so it is retained no longer than a leaving replica may get calls. */
 	#graceLeftMs(): number {
 		const {feed, clock, drainMs} = this.#parts;
 		const now = clock.now();
-		const regainedAt = feed.outageEndedAt ?? now;
-		const backAt = feed.failedCallAt ?? regainedAt;
-		return Math.min(regainedAt + graceAfterOutageMs - now, backAt + contactMs - travelMs - now, drainMs - travelMs);
+		const outageEndedAt = feed.outageEndedAt ?? now;
+		const reachableAt = feed.failedCallAt ?? outageEndedAt;
+		return Math.min(outageEndedAt + graceAfterOutageMs - now, reachableAt + reconnectDeadlineMs - maxTransitMs - now, drainMs - maxTransitMs);
 	}
 }
--- a/src/gateway/replica-choice.feature
+++ b/src/gateway/replica-choice.feature
@@ -5,15 +5,15 @@
   Scenario Outline: Many processes do not all send to the least loaded replica
     # 22 processes see the same replica as the least loaded one, and all send to it before they receive each other's announcements.
     Given <processes> processes and <replicas> replicas of <slots> slots
-    And <rate> calls a second, with announcements every <news> ms
+    And <rate> calls a second, with announcements every <interval> ms
     Then fewer than <share> % of the calls wait too long
     And choosing among all replicas would make at least <factor> times as many wait too long
 
     Examples:
-      | processes | replicas | slots | rate | news | share | factor |
-      | 22        | 34       | 7     | 183  | 168  | 13    | 1.7    |
-      | 22        | 34       | 7     | 183  | 42   | 5     | 1.5    |
-      | 17        | 27       | 7     | 142  | 168  | 10    | 1.7    |
+      | processes | replicas | slots | rate | interval | share | factor |
+      | 22        | 34       | 7     | 183  | 168      | 13    | 1.7    |
+      | 22        | 34       | 7     | 183  | 42       | 5     | 1.5    |
+      | 17        | 27       | 7     | 142  | 168      | 10    | 1.7    |
 
   Scenario: Few processes are not at a disadvantage by it
     Given 3 processes and 18 replicas of 7 slots
@@ -25,15 +25,15 @@
     # announcement; if each preempted one, the replica would be left half empty, and the items would restart elsewhere.
     Given a replica of 7 slots with <online> calls
     And processes with "<items>" items there
-    Then they preempt <cut> items together
+    Then they preempt <preempted> items together
 
     Examples:
-      | online | items         | cut |
-      | 3      | 1, 1, 1, 1, 1 | 1   |
-      | 5      | 1, 1, 1, 1    | 2   |
-      | 4      | 3, 2          | 2   |
-      | 9      | 1, 2, 1       | 4   |
-      | 3      | 2, 2          | 0   |
+      | online | items         | preempted |
+      | 3      | 1, 1, 1, 1, 1 | 1         |
+      | 5      | 1, 1, 1, 1    | 2         |
+      | 4      | 3, 2          | 2         |
+      | 9      | 1, 2, 1       | 4         |
+      | 3      | 2, 2          | 0         |
 
   Scenario Outline: A replica that immediately fails a share of its calls does not attract the calls of the others
     # Its failed calls end at once, so it looks least loaded; if it failed every call, it would get nearly all of them.
@@ -62,13 +62,13 @@
     # Empty replicas are added while all others are full. If they were used too slowly, they would stay idle beside
     # loaded ones; if each process sent all its calls there before it receives announcements, the calls would wait there.
     Given <processes> processes and <replicas> replicas of 7 slots
-    And <rate> calls a second, with announcements every <news> ms
+    And <rate> calls a second, with announcements every <interval> ms
     And <added> of the replicas are added, empty, within a wave
     Then in their first second each gets <least> to <most> times the calls that each of the others gets
     And none ever has more than 10 calls
 
     Examples:
-      | processes | replicas | rate | news | added | least | most |
-      | 58        | 49       | 232  | 114  | 6     | 1.0   | 1.6  |
-      | 22        | 34       | 183  | 42   | 4     | 1.0   | 1.6  |
-      | 5         | 16       | 84   | 40   | 3     | 1.0   | 1.8  |
+      | processes | replicas | rate | interval | added | least | most |
+      | 58        | 49       | 232  | 114      | 6     | 1.0   | 1.6  |
+      | 22        | 34       | 183  | 42       | 4     | 1.0   | 1.6  |
+      | 5         | 16       | 84   | 40       | 3     | 1.0   | 1.8  |
--- a/src/gateway/replica-choice.steps.ts
+++ b/src/gateway/replica-choice.steps.ts
@@ -16,9 +16,9 @@
 	fleet: Pick<Wave, 'processes' | 'replicas' | 'slots'>;
 	wave: Omit<Wave, 'random'>;
 	share: number;
-	joined: readonly AddedReplicasOutcome[];
+	addedOutcomes: readonly AddedReplicasOutcome[];
 	lateWithoutLosses: number | undefined;
-	place: {readonly slots: number; readonly online: number};
+	replica: {readonly slots: number; readonly online: number};
 	items: number[];
 	fault: Omit<GreyFailure, 'random' | 'areOutcomesRecorded'>;
 };
@@ -52,18 +52,18 @@
 });
 
 /** Percentage points of late calls that are due to the losses. */
-const addedByLosses = (world: ChoiceWorld, lossAccounting: Wave['lossAccounting']): number => {
+const lateShareDueToLosses = (world: ChoiceWorld, lossAccounting: Wave['lossAccounting']): number => {
 	world.lateWithoutLosses ??= meanShare({...world.wave, lossShare: 0});
 	return 100 * (meanShare({...world.wave, lossAccounting}) - world.lateWithoutLosses);
 };
 
 Then('at most {int} % more of the calls wait too long than if none was lost', function (this: ChoiceWorld, percent: number) {
-	const more = addedByLosses(this, 'share');
+	const more = lateShareDueToLosses(this, 'share');
 	assert.ok(more <= percent, String(more));
 });
 
 Then('at least {float} % more would if losses were counted without the successful requests', function (this: ChoiceWorld, percent: number) {
-	const more = addedByLosses(this, 'count');
+	const more = lateShareDueToLosses(this, 'count');
 	assert.ok(more >= percent, String(more));
 });
 
@@ -72,22 +72,22 @@
 });
 
 Then('in their first second each gets {float} to {float} times the calls that each of the others gets', function (this: ChoiceWorld, least: number, most: number) {
-	this.joined = seeds.map(seed => {
+	this.addedOutcomes = seeds.map(seed => {
 		const model = new WaveModel({...this.wave, random: new SeededRandom(seed)});
 		model.run();
 		return model.joined;
 	});
-	const part = this.joined.reduce((sum, one) => sum + one.callRatio, 0) / seeds.length;
-	assert.ok(part >= least && part <= most, String(part));
+	const meanRatio = this.addedOutcomes.reduce((sum, one) => sum + one.callRatio, 0) / seeds.length;
+	assert.ok(meanRatio >= least && meanRatio <= most, String(meanRatio));
 });
 
 Then('none ever has more than {int} calls', function (this: ChoiceWorld, most: number) {
-	const found = Math.max(...this.joined.map(one => one.maxCalls));
+	const found = Math.max(...this.addedOutcomes.map(one => one.maxCalls));
 	assert.ok(found <= most, String(found));
 });
 
 Given('a replica of {int} slots with {int} calls', function (this: ChoiceWorld, slots: number, online: number) {
-	this.place = {slots, online};
+	this.replica = {slots, online};
 });
 
 Given('processes with {string} items there', function (this: ChoiceWorld, items: string) {
@@ -95,22 +95,22 @@
 });
 
 Then('they preempt {int} items together', function (this: ChoiceWorld, count: number) {
-	const {place: {slots, online}, items} = this;
+	const {replica: {slots, online}, items} = this;
 	const members = items.map((_, i) => branded<MemberName>(`front-${i}`));
-	const cut = members.map((self, own) => {
+	const preempted = members.map((self, selfIndex) => {
 		const replica = new Replica({
 			id: branded<ReplicaId>('r1'), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 		});
 		replica.online = online;
-		replica.batch = items[own]!;
+		replica.batch = items[selfIndex]!;
 		members.forEach((peer, i) => {
-			if (i !== own) {
+			if (i !== selfIndex) {
 				replica.setPeerLoad(peer, {online: 0, batch: items[i]!});
 			}
 		});
 		return itemsToPreempt(replica, self);
 	});
-	assert.equal(cut.reduce((sum, one) => sum + one, 0), count);
+	assert.equal(preempted.reduce((sum, one) => sum + one, 0), count);
 });
 
 Given('{int} replicas of {int} slots, of which one immediately fails {int} % of its calls', function (this: ChoiceWorld, replicas: number, slots: number, percent: number) {
@@ -130,8 +130,8 @@
 };
 
 Then('fewer than {int} % of the calls fail, against {int} % without a record of failures', function (this: ChoiceWorld, share: number, without: number) {
-	const noted = meanOutcome({...this.fault, areOutcomesRecorded: true});
-	assert.ok(noted.failed < share / 100, String(noted.failed));
+	const recorded = meanOutcome({...this.fault, areOutcomesRecorded: true});
+	assert.ok(recorded.failed < share / 100, String(recorded.failed));
 	assert.ok(meanOutcome({...this.fault, areOutcomesRecorded: false}).failed > without / 100);
 });
 
--- a/src/gateway/replica-choice.ts
+++ b/src/gateway/replica-choice.ts
@@ -33,12 +33,12 @@
 
 A replica that fails most of its calls therefore gets few, and replicas that lose a single answer now and then keep their share (replica-choice.feature).
 */
-const rerunCost = 0.5;
+const continuationCost = 0.5;
 const lossCost = 3;
 
-const failureCost = ({outcomes}: Replica, {now, canFailOver: canGoElsewhere}: ChoiceContext): number => {
+const failureCost = ({outcomes}: Replica, {now, canFailOver}: ChoiceContext): number => {
 	const share = outcomes.failureShare(now);
-	return canGoElsewhere ? (share * rerunCost) + (share * share * lossCost) : share * lossCost;
+	return canFailOver ? (share * continuationCost) + (share * share * lossCost) : share * lossCost;
 };
 
 /** Smaller than any difference in load, so that it decides only among equally loaded replicas. */
@@ -50,14 +50,14 @@
 /**
 Size of the sample: each replica is in the samples of about two processes at a time, and each sample has at least three replicas. With few processes, a sample contains nearly all replicas, and the choice is nearly optimal (replica-choice.feature).
 */
-const viewers = 2;
-const fewestLots = 3;
+const viewersPerReplica = 2;
+const minSampleSize = 3;
 
-const byLot = (replicas: readonly Replica[], {processCount: sharers, random}: ChoiceContext): readonly Replica[] => {
-	const lots = Math.max(fewestLots, Math.ceil(viewers * replicas.length / sharers));
-	return lots >= replicas.length
+const sampleOf = (replicas: readonly Replica[], {processCount, random}: ChoiceContext): readonly Replica[] => {
+	const sampleSize = Math.max(minSampleSize, Math.ceil(viewersPerReplica * replicas.length / processCount));
+	return sampleSize >= replicas.length
 		? replicas
-		: Array.from({length: lots}, () => replicas[Math.floor(random.next() * replicas.length)]!);
+		: Array.from({length: sampleSize}, () => replicas[Math.floor(random.next() * replicas.length)]!);
 };
 
 const onlineCost = (replica: Replica, context: ChoiceContext): number => {
@@ -68,14 +68,14 @@
 	return load + distance + failureCost(replica, context) + (random.next() * jitter / slots);
 };
 
-const leastOf = (replicas: readonly Replica[], cost: (replica: Replica) => number): Replica | undefined => {
+const cheapest = (replicas: readonly Replica[], cost: (replica: Replica) => number): Replica | undefined => {
 	let best: Replica | undefined;
 	let bestCost = Infinity;
 	replicas.forEach(replica => {
-		const own = cost(replica);
-		if (own < bestCost) {
+		const replicaCost = cost(replica);
+		if (replicaCost < bestCost) {
 			best = replica;
-			bestCost = own;
+			bestCost = replicaCost;
 		}
 	});
 	return best;
@@ -89,8 +89,8 @@
 */
 export const chooseForOnline = (replicas: readonly Replica[], context: ChoiceContext): Replica | undefined => {
 	const untried = replicas.filter(({record}) => !context.tried.has(record.id));
-	const trusted = untried.filter(replica => !replica.isBackedOff(context.now));
-	return leastOf(byLot(trusted.length > 0 ? trusted : untried, context), replica => onlineCost(replica, context));
+	const available = untried.filter(replica => !replica.isBackedOff(context.now));
+	return cheapest(sampleOf(available.length > 0 ? available : untried, context), replica => onlineCost(replica, context));
 };
 
 /**
@@ -104,7 +104,7 @@
 		&& !replica.isFull(context.now)
 		&& !context.tried.has(replica.record.id)
 		&& replica.total < Math.max(1, replica.record.slots - reserve));
-	return leastOf(byLot(open, context), replica => replica.total + (failureCost(replica, context) * replica.record.slots) + (context.random.next() * jitter));
+	return cheapest(sampleOf(open, context), replica => replica.total + (failureCost(replica, context) * replica.record.slots) + (context.random.next() * jitter));
 };
 
 /**
@@ -119,7 +119,7 @@
 	}
 
 	const ranked = rankMembers(replica.record.id, [self, ...replica.peersWithItems.map(([peer]) => peer)]);
-	const before = new Set(ranked.slice(0, ranked.indexOf(self)));
-	const cutByOthers = replica.peersWithItems.filter(([peer]) => before.has(peer)).reduce((sum, [, items]) => sum + items, 0);
-	return Math.min(replica.batch, Math.max(0, excess - cutByOthers));
+	const higherRanked = new Set(ranked.slice(0, ranked.indexOf(self)));
+	const preemptedByOthers = replica.peersWithItems.filter(([peer]) => higherRanked.has(peer)).reduce((sum, [, items]) => sum + items, 0);
+	return Math.min(replica.batch, Math.max(0, excess - preemptedByOthers));
 };
--- a/src/gateway/replica-connection-pool.steps.ts
+++ b/src/gateway/replica-connection-pool.steps.ts
@@ -9,9 +9,9 @@
 import {serveOnLoopback} from '../io/testing/serve-on-loopback.js';
 import {ReplicaConnectionPool, type ReplicaConnection} from './replica-connection-pool.js';
 
-type ConnectionsWorld = TestWorld & {connections: ReplicaConnectionPool};
+type PoolWorld = TestWorld & {pool: ReplicaConnectionPool};
 
-const answered = async (connection: ReplicaConnection) => new Promise<void>((resolve, reject) => {
+const untilAnswered = async (connection: ReplicaConnection) => new Promise<void>((resolve, reject) => {
 	connection.dispatch({method: 'GET', path: '/'}, {
 		onRequestStart: () => undefined,
 		onResponseEnd() {
@@ -24,32 +24,32 @@
 	});
 });
 
-const turn = async () => new Promise(resolve => {
+const nextTick = async () => new Promise(resolve => {
 	setImmediate(resolve);
 });
 
-Given('a connection to a replica that has answered a request', async function (this: ConnectionsWorld) {
+Given('a connection to a replica that has answered a request', async function (this: PoolWorld) {
 	const address = await serveOnLoopback(this, (_req, res) => {
 		res.end('ok');
 	});
-	this.connections = this.register(new ReplicaConnectionPool(address, new SystemClock()));
-	await answered(this.connections.acquire(8)!);
-	await turn();
+	this.pool = this.register(new ReplicaConnectionPool(address, new SystemClock()));
+	await untilAnswered(this.pool.acquire(8)!);
+	await nextTick();
 });
 
-When('the process is paused for {int} ms and another request is sent at once', async function (this: ConnectionsWorld, ms: number) {
+When('the process is paused for {int} ms and another request is sent at once', async function (this: PoolWorld, ms: number) {
 	pauseProcess(ms);
-	await answered(this.connections.acquire(8)!);
+	await untilAnswered(this.pool.acquire(8)!);
 });
 
-When('a request that needs a new connection is sent, with {int} allowed', async function (this: ConnectionsWorld, limit: number) {
-	await answered(this.connections.acquire(limit, true)!);
+When('a request that needs a new connection is sent, with {int} allowed', async function (this: PoolWorld, limit: number) {
+	await untilAnswered(this.pool.acquire(limit, true)!);
 });
 
-Then('{int} of them is/are open', function (this: ConnectionsWorld, count: number) {
-	assert.equal(this.connections.size, count);
+Then('{int} of them is/are open', function (this: PoolWorld, count: number) {
+	assert.equal(this.pool.size, count);
 });
 
-Then('{int} connections were made', function (this: ConnectionsWorld, count: number) {
-	assert.equal(this.connections.createdCount, count);
+Then('{int} connections were made', function (this: PoolWorld, count: number) {
+	assert.equal(this.pool.createdCount, count);
 });
--- a/src/gateway/replica-connection-pool.ts
+++ b/src/gateway/replica-connection-pool.ts
@@ -8,33 +8,33 @@
 import {SocketWatch} from '../io/socket-watch.js';
 
 /** Idle time after which a connection is closed if the replica announces none, in milliseconds; below the 5 s for which Node's and most other servers keep an idle connection. */
-const idleMs = 4000;
+const maxIdleMs = 4000;
 
 /** Subtracted from the idle time that the replica announces, in milliseconds, so that a request is not sent while the replica closes the connection. */
 const idleMarginMs = 1000;
 
 /** Undici's connect time-out; the attempt has a shorter one with exact timing. */
-const connectLimitMs = 5000;
+const undiciConnectTimeoutMs = 5000;
 
 /** Sockets stay writable after the replica has ended the connection, so that a reset can still be detected. */
-const connect = buildConnector({timeout: connectLimitMs, allowH2: false, allowHalfOpen: true});
+const connect = buildConnector({timeout: undiciConnectTimeoutMs, allowH2: false, allowHalfOpen: true});
 
 /** One connection, established or being established. It carries one request at a time. */
 export class ReplicaConnection implements Disposable {
 	/** Since when it has been idle, in milliseconds on the monotonic clock. */
 	idleSince = Infinity;
 	readonly #client: Client;
-	readonly #siblings: ReplicaConnectionPool;
+	readonly #pool: ReplicaConnectionPool;
 	readonly #socketWatch = new SocketWatch();
-	#isOver = false;
+	#isClosed = false;
 	#isNew = true;
 
 	/**
 	@param address - `ip:port`.
-	@param siblings - The pool that the connection is removed from when it can carry no more requests.
+	@param pool - The pool that the connection is removed from when it can carry no more requests.
 	*/
-	constructor(address: string, siblings: ReplicaConnectionPool) {
-		this.#siblings = siblings;
+	constructor(address: string, pool: ReplicaConnectionPool) {
+		this.#pool = pool;
 		this.#client = new Client(`http://${address}`, {
 			connect: (options, callback) => {
 				connect(options, (...outcome) => {
@@ -43,19 +43,19 @@
 				});
 			},
 			pipelining: 1,
-			keepAliveTimeout: idleMs,
+			keepAliveTimeout: maxIdleMs,
 			keepAliveTimeoutThreshold: idleMarginMs,
 			headersTimeout: 0,
 			bodyTimeout: 0,
 		});
 		this.#client.once('disconnect', () => {
-			this.#isOver = true;
-			siblings.removeConnection(this);
+			this.#isClosed = true;
+			pool.removeConnection(this);
 		});
 	}
 
 	get isClosed(): boolean {
-		return this.#isOver;
+		return this.#isClosed;
 	}
 
 	/** Whether no request has been answered on it yet. The connection is established with its first request. */
@@ -75,22 +75,22 @@
 	/** Frees the connection for another request, after a complete and valid answer. */
 	release(): void {
 		this.#isNew = false;
-		this.#siblings.returnToPool(this);
+		this.#pool.returnToPool(this);
 	}
 
 	/** Closes the connection at once, on which the replica aborts the request that it runs for it. */
 	discard(): void {
-		this.#siblings.removeConnection(this);
+		this.#pool.removeConnection(this);
 		this.dispose();
 	}
 
 	/** Closes the idle connections to the same replica: if one is unresponsive, all may be. */
 	closeIdleSiblings(): void {
-		this.#siblings.closeIdle();
+		this.#pool.closeIdle();
 	}
 
 	dispose(): void {
-		this.#isOver = true;
+		this.#isClosed = true;
 		void this.#client.destroy().catch(() => undefined);
 	}
 }
@@ -101,8 +101,8 @@
 	readonly #clock: Clock;
 	readonly #all = new Set<ReplicaConnection>();
 	#idle: ReplicaConnection[] = [];
-	#made = 0;
-	#isRetired = false;
+	#createdCount = 0;
+	#closesWhenIdle = false;
 
 	/** @param address - `ip:port`. */
 	constructor(address: string, clock: Clock) {
@@ -117,7 +117,7 @@
 
 	/** Number of connections created so far. */
 	get createdCount(): number {
-		return this.#made;
+		return this.#createdCount;
 	}
 
 	/**
@@ -128,8 +128,8 @@
 	@returns `undefined` if all connections are busy.
 	*/
 	acquire(limit: number, mustBeNew = false): ReplicaConnection | undefined {
-		this.#closeOutdated();
-		return mustBeNew ? this.#makeInsteadOfIdle(limit) : this.#idle.pop() ?? this.#make(limit);
+		this.#closeExpired();
+		return mustBeNew ? this.#createReplacingIdle(limit) : this.#idle.pop() ?? this.#create(limit);
 	}
 
 	/**
@@ -138,7 +138,7 @@
 	It is reused only after bytes that have already arrived were read: a faulty replica may send a second answer after the first one, which must not be taken as the answer to the next request.
 	*/
 	returnToPool(connection: ReplicaConnection): void {
-		if (this.#isRetired) {
+		if (this.#closesWhenIdle) {
 			connection.discard();
 			return;
 		}
@@ -168,7 +168,7 @@
 
 	/** Closes each connection as soon as it carries no request: a replica that has left completes the requests in flight. */
 	drain(): void {
-		this.#isRetired = true;
+		this.#closesWhenIdle = true;
 		this.closeIdle();
 	}
 
@@ -181,27 +181,27 @@
 	}
 
 	/** If the limit is reached, closes the connection that has been idle for longest. */
-	#makeInsteadOfIdle(limit: number): ReplicaConnection | undefined {
+	#createReplacingIdle(limit: number): ReplicaConnection | undefined {
 		if (this.#all.size >= limit) {
 			this.#idle[0]?.discard();
 		}
 
-		return this.#make(limit);
+		return this.#create(limit);
 	}
 
-	#make(limit: number): ReplicaConnection | undefined {
+	#create(limit: number): ReplicaConnection | undefined {
 		if (this.#all.size >= limit) {
 			return undefined;
 		}
 
 		const connection = new ReplicaConnection(this.#address, this);
 		this.#all.add(connection);
-		this.#made += 1;
+		this.#createdCount += 1;
 		return connection;
 	}
 
-	#closeOutdated() {
-		const since = this.#clock.now() - idleMs;
+	#closeExpired() {
+		const since = this.#clock.now() - maxIdleMs;
 		const [oldest] = this.#idle;
 		if (oldest && oldest.idleSince < since) {
 			this.#idle.filter(({idleSince}) => idleSince < since).forEach(connection => {
--- a/src/gateway/replica-connection-pools.ts
+++ b/src/gateway/replica-connection-pools.ts
@@ -12,7 +12,7 @@
 const defaultMaxConnections = 64;
 
 /** Connections to a replica that each process may have, regardless of the number of processes. */
-const leastConnections = 8;
+const minConnections = 8;
 
 /** Dependencies of the pools. */
 export type ReplicaConnectionPoolsParts = {
@@ -26,8 +26,8 @@
 /** The connection pools of all replicas. */
 export class ReplicaConnectionPools implements Disposable {
 	readonly #parts: ReplicaConnectionPoolsParts;
-	readonly #links = new Map<ReplicaId, ReplicaConnectionPool>();
-	#madeByGone = 0;
+	readonly #pools = new Map<ReplicaId, ReplicaConnectionPool>();
+	#createdByRemoved = 0;
 
 	constructor(parts: ReplicaConnectionPoolsParts) {
 		this.#parts = parts;
@@ -35,7 +35,7 @@
 			if (change === 'left') {
 				this.#remove(replica.record.id)?.drain();
 			} else if (change === 'restarted') {
-				// Requests in flight at the earlier start will not be answered. A VM that lost power resets no connection, and callers would wait for the silence time-out: 1.2 s for repeatable calls, and the rest of their time for others.
+				// Requests in flight at the earlier start will not be answered. A VM that lost power resets no connection, and callers would wait for the response time-out: 1.2 s for repeatable calls, and the rest of their time for others.
 				this.#remove(replica.record.id)?.dispose();
 			}
 		});
@@ -43,7 +43,7 @@
 
 	/** Number of connections created so far, to all replicas. */
 	get createdCount(): number {
-		return [...this.#links.values()].reduce((sum, {createdCount: made}) => sum + made, this.#madeByGone);
+		return [...this.#pools.values()].reduce((sum, {createdCount}) => sum + createdCount, this.#createdByRemoved);
 	}
 
 	/**
@@ -51,38 +51,38 @@
 	@returns `undefined` if this process's share of the replica's connections is in use.
 	*/
 	acquire(replica: Replica, mustBeNew = false): ReplicaConnection | undefined {
-		return this.#connectionsTo(replica).acquire(this.#shareOf(replica), mustBeNew);
+		return this.#poolOf(replica).acquire(this.#limitFor(replica), mustBeNew);
 	}
 
 	dispose(): void {
-		this.#links.forEach(connections => {
-			connections.dispose();
+		this.#pools.forEach(pool => {
+			pool.dispose();
 		});
-		this.#links.clear();
+		this.#pools.clear();
 	}
 
-	#connectionsTo({record}: Replica): ReplicaConnectionPool {
-		const known = this.#links.get(record.id);
-		if (known) {
-			return known;
+	#poolOf({record}: Replica): ReplicaConnectionPool {
+		const existing = this.#pools.get(record.id);
+		if (existing) {
+			return existing;
 		}
 
-		const connections = new ReplicaConnectionPool(record.address, this.#parts.clock);
-		this.#links.set(record.id, connections);
-		return connections;
+		const pool = new ReplicaConnectionPool(record.address, this.#parts.clock);
+		this.#pools.set(record.id, pool);
+		return pool;
 	}
 
 	/** A replica resets connections beyond its limit, and with them requests in flight of other processes. */
-	#shareOf({record}: Replica): number {
-		const {board, processCount: sharers} = this.#parts;
-		const all = board.service(record.service)?.maxConnections ?? defaultMaxConnections;
-		return Math.max(leastConnections, Math.floor(all / Math.max(1, sharers())));
+	#limitFor({record}: Replica): number {
+		const {board, processCount} = this.#parts;
+		const maxConnections = board.service(record.service)?.maxConnections ?? defaultMaxConnections;
+		return Math.max(minConnections, Math.floor(maxConnections / Math.max(1, processCount())));
 	}
 
 	#remove(id: ReplicaId): ReplicaConnectionPool | undefined {
-		const connections = this.#links.get(id);
-		this.#links.delete(id);
-		this.#madeByGone += connections?.createdCount ?? 0;
-		return connections;
+		const pool = this.#pools.get(id);
+		this.#pools.delete(id);
+		this.#createdByRemoved += pool?.createdCount ?? 0;
+		return pool;
 	}
 }
--- a/src/gateway/replica-directory.steps.ts
+++ b/src/gateway/replica-directory.steps.ts
@@ -20,7 +20,7 @@
 	directory: ReplicaDirectory;
 	peers: PeerTable;
 	seq: number;
-	told: string[];
+	changes: string[];
 	ends: Array<() => void>;
 };
 
@@ -32,11 +32,11 @@
 
 const replicaOf = ({directory}: DirectoryWorld, id: string) => directory.get(branded<ReplicaId>(id))!;
 
-const stateOf = (peer: string, seq: number, told: Partial<PeerState>): PeerState => ({
-	member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq, isLeaving: false, loads: [], jobs: [], ...told,
+const stateOf = (peer: string, seq: number, overrides: Partial<PeerState>): PeerState => ({
+	member: branded<MemberName>(peer), address: '127.0.0.1:1', rpcAddress: '127.0.0.1:1', reachesObjectApi: true, startedAt: 1, seq, isLeaving: false, loads: [], jobs: [], ...overrides,
 });
 
-const tell = (world: DirectoryWorld, peer: string, {online, replica, startedAt}: {online: number; replica: string; startedAt: number}) => {
+const announce = (world: DirectoryWorld, peer: string, {online, replica, startedAt}: {online: number; replica: string; startedAt: number}) => {
 	world.seq += 1;
 	world.peers.receive(stateOf(peer, world.seq, {
 		loads: [{
@@ -48,9 +48,9 @@
 Given('replica {string} started at {int} is registered, with {int} own calls and {int} of peer {string}', function (this: DirectoryWorld, id: string, startedAt: number, own: number, others: number, peer: string) {
 	this.directory = new ReplicaDirectory();
 	this.directory.put(recordOf(id, startedAt));
-	this.told = [];
+	this.changes = [];
 	this.directory.onChange(({change}) => {
-		this.told.push(change);
+		this.changes.push(change);
 	});
 	const loads = new LoadBoard();
 	this.peers = new PeerTable({
@@ -58,7 +58,7 @@
 	});
 	this.seq = 0;
 	this.ends = Array.from({length: own}, () => loads.acquireSlot(replicaOf(this, id), 'online'));
-	tell(this, peer, {online: others, replica: id, startedAt});
+	announce(this, peer, {online: others, replica: id, startedAt});
 	assert.equal(replicaOf(this, id).total, own + others);
 });
 
@@ -80,7 +80,7 @@
 });
 
 When('peer {string} announces {int} call(s) at {string} started at {int}', function (this: DirectoryWorld, peer: string, online: number, replica: string, startedAt: number) {
-	tell(this, peer, {online, replica, startedAt});
+	announce(this, peer, {online, replica, startedAt});
 });
 
 When('peer {string} announces {int} failure(s) in {int} requests at {string} started at {int}', function (this: DirectoryWorld, peer: string, failures: number, requests: number, replica: string, startedAt: number) {
@@ -106,5 +106,5 @@
 });
 
 Then('the directory reported {string} for {string}', function (this: DirectoryWorld, changes: string, _id: string) {
-	assert.equal(this.told.join(', '), changes);
+	assert.equal(this.changes.join(', '), changes);
 });
--- a/src/gateway/replica-directory.ts
+++ b/src/gateway/replica-directory.ts
@@ -48,22 +48,22 @@
 
 	/** Adds or updates a registration. */
 	put(record: ReplicaRecord): void {
-		const known = this.#byId.get(record.id);
-		if (!known) {
-			this.#join(record);
+		const current = this.#byId.get(record.id);
+		if (!current) {
+			this.#add(record);
 			return;
 		}
 
-		if (known.record.startedAt !== record.startedAt) {
-			this.#follow(known, record);
+		if (current.record.startedAt !== record.startedAt) {
+			this.#restart(current, record);
 			return;
 		}
 
-		const before = known.record;
-		known.record = record;
+		const before = current.record;
+		current.record = record;
 		this.#index(before.service);
 		this.#index(record.service);
-		this.#tell({replica: known, change: changeBetween(before, record)});
+		this.#emitChange({replica: current, change: changeBetween(before, record)});
 	}
 
 	/** Removes a registration. Requests in flight at its replica continue. */
@@ -76,7 +76,7 @@
 		this.#byId.delete(id);
 		this.#endedStarts.delete(id);
 		this.#index(replica.record.service);
-		this.#tell({replica, change: 'left'});
+		this.#emitChange({replica, change: 'left'});
 	}
 
 	/** Calls the listener with each change. */
@@ -84,18 +84,18 @@
 		this.#events.on('change', listener);
 	}
 
-	#join(record: ReplicaRecord) {
+	#add(record: ReplicaRecord) {
 		const replica = new Replica(record);
 		this.#byId.set(record.id, replica);
 		this.#index(record.service);
-		this.#tell({replica, change: 'joined'});
+		this.#emitChange({replica, change: 'joined'});
 	}
 
 	/**
 	Handles another start under a registered id. The later start is the one that was seen later, regardless of the start times, because a VM's clock may have been set back between two starts. A delayed write of an earlier start must not bring it back, or callers would lose the streams that the later start serves.
 	*/
-	#follow(known: Replica, record: ReplicaRecord) {
-		const {id, startedAt} = known.record;
+	#restart(current: Replica, record: ReplicaRecord) {
+		const {id, startedAt} = current.record;
 		const ended = this.#endedStarts.get(id) ?? new Set();
 		if (record.startedAt === undefined || ended.has(record.startedAt)) {
 			return;
@@ -106,9 +106,9 @@
 		}
 
 		this.#byId.delete(id);
-		this.#index(known.record.service);
-		this.#tell({replica: known, change: 'restarted'});
-		this.#join(record);
+		this.#index(current.record.service);
+		this.#emitChange({replica: current, change: 'restarted'});
+		this.#add(record);
 	}
 
 	#index(service: GatewayServiceName) {
@@ -116,7 +116,7 @@
 		this.#byService.set(service, takingWork);
 	}
 
-	#tell(change: ReplicaChange) {
+	#emitChange(change: ReplicaChange) {
 		this.#events.emit('change', change);
 	}
 }
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -10,16 +10,16 @@
 	readonly batch: number;
 };
 
-const nothing: ReplicaLoad = {online: 0, batch: 0};
+const noLoad: ReplicaLoad = {online: 0, batch: 0};
 
 /**
 Backoff after a failed connection, in milliseconds: the initial one, doubled after each further failure up to the maximum. The initial one is a few times the round trip within a region, so that the reset of a single connection costs its replica little; the maximum is about the time that a crashed process takes to restart.
 */
-const firstDoubtMs = 250;
-const maxDoubtMs = 2000;
+const initialBackoffMs = 250;
+const maxBackoffMs = 2000;
 
 /** A replica that declined an item gets no items for this long, in milliseconds. Each peer announces its load several times within it, so that the cached load is correct afterwards. */
-const fullMs = 300;
+const fullPeriodMs = 300;
 
 /** Mutable state of a replica, written by its directory and by the requests in flight. */
 export class Replica {
@@ -37,8 +37,8 @@
 	readonly #peers = new Map<MemberName, ReplicaLoad>();
 	#peerOnline = 0;
 	#peerBatch = 0;
-	#doubts = 0;
-	#doubtedUntil = 0;
+	#consecutiveFailures = 0;
+	#backoffUntil = 0;
 	#fullUntil = 0;
 
 	constructor(record: ReplicaRecord) {
@@ -66,8 +66,8 @@
 	}
 
 	/** Replaces the load that a peer announced for this replica. */
-	setPeerLoad(peer: MemberName, load: ReplicaLoad = nothing): void {
-		const before = this.#peers.get(peer) ?? nothing;
+	setPeerLoad(peer: MemberName, load: ReplicaLoad = noLoad): void {
+		const before = this.#peers.get(peer) ?? noLoad;
 		this.#peerOnline += load.online - before.online;
 		this.#peerBatch += load.batch - before.batch;
 		if (load.online === 0 && load.batch === 0) {
@@ -79,26 +79,26 @@
 
 	/** @param now - Milliseconds on the monotonic clock. @returns Whether the replica is within a backoff. */
 	isBackedOff(now: number): boolean {
-		return now < this.#doubtedUntil;
+		return now < this.#backoffUntil;
 	}
 
 	/** No connection can be made. The backoff lasts until one can, see `ReplicaReachability`. */
 	noteUnreachable(): void {
-		this.#doubtedUntil = Infinity;
+		this.#backoffUntil = Infinity;
 	}
 
 	/**
 	A connection became unresponsive, or the address belongs to another replica. A longer backoff is never shortened: requests that were sent before the replica was found unreachable time out after that, and must not make it eligible again.
 	*/
 	noteFailure(now: number): void {
-		this.#doubts += 1;
-		const doubtMs = Math.min(maxDoubtMs, firstDoubtMs * (2 ** (this.#doubts - 1)));
-		this.#doubtedUntil = Math.max(this.#doubtedUntil, now + doubtMs);
+		this.#consecutiveFailures += 1;
+		const backoffMs = Math.min(maxBackoffMs, initialBackoffMs * (2 ** (this.#consecutiveFailures - 1)));
+		this.#backoffUntil = Math.max(this.#backoffUntil, now + backoffMs);
 	}
 
 	/** The replica declined an item for lack of a slot, so the cached load is outdated. */
 	noteFull(now: number): void {
-		this.#fullUntil = now + fullMs;
+		this.#fullUntil = now + fullPeriodMs;
 	}
 
 	/** Whether batch items are to be sent elsewhere for now. */
@@ -108,7 +108,7 @@
 
 	/** The replica answered, which ends the backoff. */
 	noteAnswer(): void {
-		this.#doubts = 0;
-		this.#doubtedUntil = 0;
+		this.#consecutiveFailures = 0;
+		this.#backoffUntil = 0;
 	}
 }
--- a/src/gateway/route-table.ts
+++ b/src/gateway/route-table.ts
@@ -6,10 +6,10 @@
 const longestFirst = (a: GatewayRoute, b: GatewayRoute): number => b.pathPrefix.length - a.pathPrefix.length;
 
 /** Hosts are compared without the port and case-insensitively, as HTTP specifies. */
-const plainHost = (host: string): string => host.toLowerCase().replace(/:\d+$/v, '');
+const normalizeHost = (host: string): string => host.toLowerCase().replace(/:\d+$/v, '');
 
 /** The path without its query. */
-const plainPath = (target: string): string => target.split('?', 1)[0] ?? target;
+const pathOf = (target: string): string => target.split('?', 1)[0] ?? target;
 
 /** Finds the route of a call. Immutable: each configuration has its own table. */
 export class RouteTable {
@@ -17,8 +17,8 @@
 	readonly #byName: ReadonlyMap<string, GatewayRoute>;
 
 	constructor({routes}: Pick<GatewayConfig, 'routes'>) {
-		const hosts = [...new Set(routes.map(({host}) => plainHost(host)))];
-		this.#byHost = new Map(hosts.map(host => [host, routes.filter(route => plainHost(route.host) === host).toSorted(longestFirst)]));
+		const hosts = [...new Set(routes.map(({host}) => normalizeHost(host)))];
+		this.#byHost = new Map(hosts.map(host => [host, routes.filter(route => normalizeHost(route.host) === host).toSorted(longestFirst)]));
 		this.#byName = new Map(routes.map(route => [route.name, route]));
 	}
 
@@ -28,8 +28,8 @@
 	@returns `undefined` if no route matches.
 	*/
 	match(host: string, target: string): GatewayRoute | undefined {
-		const path = plainPath(target);
-		return this.#byHost.get(plainHost(host))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
+		const path = pathOf(target);
+		return this.#byHost.get(normalizeHost(host))?.find(({pathPrefix}) => path.startsWith(pathPrefix));
 	}
 
 	named(name: string): GatewayRoute | undefined {
--- a/src/gateway/service-times.steps.ts
+++ b/src/gateway/service-times.steps.ts
@@ -18,11 +18,11 @@
 const other = branded<GatewayServiceName>('desk');
 
 /** Number of calls after which the mean is stable. */
-const many = 200;
+const settlingCalls = 200;
 
 Given('calls of a service take {int} ms', function (this: TimesWorld, ms: number) {
 	this.times = new ServiceTimes();
-	Array.from({length: many}).forEach(() => {
+	Array.from({length: settlingCalls}).forEach(() => {
 		this.times.recordDuration(service, ms);
 	});
 });
--- a/src/gateway/service-times.ts
+++ b/src/gateway/service-times.ts
@@ -8,7 +8,7 @@
 import type {GatewayServiceName} from './types.js';
 
 /** With fewer calls, the mean is not representative of a service. */
-const leastCalls = 10;
+const minCalls = 10;
 
 /** Mean service times, and the wait for a slot that follows from them. */
 export class ServiceTimes {
@@ -26,7 +26,7 @@
 	*/
 	waitMs(service: GatewayServiceName, replicas: readonly Replica[]): number {
 		const time = this.#times.get(service);
-		if (!time || time.observations < leastCalls || replicas.length === 0) {
+		if (!time || time.observations < minCalls || replicas.length === 0) {
 			return 0;
 		}
 
--- a/src/gateway/testing/batch-wave-model.ts
+++ b/src/gateway/testing/batch-wave-model.ts
@@ -17,7 +17,7 @@
 	readonly random: RandomSource;
 	/** Generates all other random values, so that two simulations have the same jobs. */
 	readonly draws?: RandomSource;
-	/** Whether interruptions are learnt. */
+	/** Whether the slowdown by preemptions is estimated. */
 	readonly isSlowdownEstimated: boolean;
 	/** Number of processes, among which the jobs are distributed at random. */
 	readonly processes?: number;
@@ -38,22 +38,22 @@
 const stepMs = 50;
 const periodMs = 5800;
 const calmMs = 3400;
-const calmShare = 0.27;
+const calmOnlineShare = 0.27;
 const dueMs = 18_000;
-const itemsAtOnce = 10;
+const itemsPerJob = 10;
 const msPerEvent = 31;
 const eventsOfItem = 157;
-const spread = 0.4;
+const lengthSpread = 0.4;
 
 /** Waiting items that each process reports if all are to take equal shares; more than there are slots. */
-const equalPart = {timely: 1000, late: 0};
+const equalDemand = {timely: 1000, late: 0};
 
 /** The simulation. */
 export class BatchWaveModel {
 	readonly #wave: BatchWave;
 	#items: Item[] = [];
 	#length: RunEstimate;
-	#nextAt = 0;
+	#nextSubmissionAt = 0;
 	#onTime = 0;
 	#due = 0;
 
@@ -66,8 +66,8 @@
 	run(): number {
 		for (let now = 0; now < lengthMs; now += stepMs) {
 			this.#submit(now);
-			this.#place(now);
-			this.#go(now + stepMs);
+			this.#assignSlots(now);
+			this.#advance(now + stepMs);
 		}
 
 		return this.#onTime / this.#due;
@@ -75,36 +75,36 @@
 
 	#submit(now: number) {
 		const {perSecond, random, draws = random, processes = 1} = this.#wave;
-		while (this.#nextAt <= now) {
-			const dueAt = this.#nextAt + dueMs;
+		while (this.#nextSubmissionAt <= now) {
+			const dueAt = this.#nextSubmissionAt + dueMs;
 			const process = processes === 1 ? 0 : Math.floor(draws.next() * processes);
-			this.#items.push(...Array.from({length: itemsAtOnce}, () => ({
-				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - spread + (2 * spread * random.next()))), isRunning: false, begunAt: undefined, ranMs: 0,
+			this.#items.push(...Array.from({length: itemsPerJob}, () => ({
+				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - lengthSpread + (2 * lengthSpread * random.next()))), isRunning: false, begunAt: undefined, ranMs: 0,
 			})));
-			this.#due += dueAt < lengthMs ? itemsAtOnce : 0;
-			this.#nextAt -= Math.log(1 - random.next()) * 1000 * itemsAtOnce / perSecond;
+			this.#due += dueAt < lengthMs ? itemsPerJob : 0;
+			this.#nextSubmissionAt -= Math.log(1 - random.next()) * 1000 * itemsPerJob / perSecond;
 		}
 	}
 
 	/** Preempts excess items, those with the least work done first, and fills free slots in the order of the policy. */
-	#place(now: number) {
+	#assignSlots(now: number) {
 		const {places} = this.#wave;
-		const free = now % periodMs < calmMs ? Math.floor(places * (1 - calmShare)) : 0;
+		const free = now % periodMs < calmMs ? Math.floor(places * (1 - calmOnlineShare)) : 0;
 		const running = this.#items.filter(({isRunning}) => isRunning).toSorted((a, b) => b.events - a.events);
 		running.slice(free).forEach(item => {
 			item.isRunning = false;
 		});
-		this.#share(Math.max(0, free - running.length), now);
+		this.#distribute(Math.max(0, free - running.length), now);
 	}
 
 	/** Each process fills its share of the free slots with its most urgent items. */
-	#share(free: number, now: number) {
-		const {processes = 1, random, draws = random, isProportional: isCompared = true} = this.#wave;
+	#distribute(free: number, now: number) {
+		const {processes = 1, random, draws = random, isProportional = true} = this.#wave;
 		const waiting = this.#items.filter(({isRunning}) => !isRunning).toSorted(byUrgency(this.#length, now));
 		const byProcess = Array.from({length: processes}, (_, own) => waiting.filter(({process}) => process === own)).filter(({length}) => length > 0);
 		const all = countWaiting(waiting, this.#length, now);
 		byProcess.forEach(items => {
-			const counts = isCompared ? {own: countWaiting(items, this.#length, now), all} : {own: equalPart, all: {timely: byProcess.length * equalPart.timely, late: 0}};
+			const counts = isProportional ? {own: countWaiting(items, this.#length, now), all} : {own: equalDemand, all: {timely: byProcess.length * equalDemand.timely, late: 0}};
 			items.slice(0, slotAllowance(free, counts, draws.next())).forEach(item => {
 				item.isRunning = true;
 				item.begunAt ??= now;
@@ -112,7 +112,7 @@
 		});
 	}
 
-	#go(now: number) {
+	#advance(now: number) {
 		this.#items.filter(({isRunning}) => isRunning).forEach(item => {
 			item.events += stepMs / msPerEvent;
 			item.ranMs += stepMs;
@@ -121,11 +121,11 @@
 		this.#items = this.#items.filter(({events, total}) => events < total);
 		done.forEach(item => {
 			this.#onTime += item.dueAt < lengthMs && now <= item.dueAt ? 1 : 0;
-			this.#learn(item, now);
+			this.#recordRun(item, now);
 		});
 	}
 
-	#learn({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
+	#recordRun({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
 		const length = updateEstimate(this.#length, {events: total, elapsedMs: ranMs, total});
 		this.#length = this.#wave.isSlowdownEstimated && now <= dueAt ? updateSlowdown(length, {elapsedMs: now - begunAt, ranMs}) : length;
 	}
--- a/src/gateway/testing/crash-model.ts
+++ b/src/gateway/testing/crash-model.ts
@@ -24,7 +24,7 @@
 /** `each`: one crash for each request on the replica. `shared`: one crash in total, divided equally. */
 export type Blame = 'each' | 'shared';
 
-const blameOf: Readonly<Record<Blame, (requests: number) => number>> = {
+const blameWeights: Readonly<Record<Blame, (requests: number) => number>> = {
 	each: () => 1,
 	shared: requests => 1 / requests,
 };
@@ -47,7 +47,7 @@
 	readonly isPoison: boolean;
 	readonly isPopular: boolean;
 	runsLeft: number;
-	triesLeft: number;
+	attemptsLeft: number;
 };
 
 type Run = {readonly request: Request; readonly endsAt: number};
@@ -58,14 +58,14 @@
 const lengthMs = 30_000;
 const stepMs = 5;
 const engines = 13;
-const places = 8;
+const slots = 8;
 const ordinaryMs = 800;
 const poisonMs = 100;
-const comesAgainMs = 150;
-const awayMs = 3200;
+const retryDelayMs = 150;
+const downMs = 3200;
 const firstHoldMs = 30_000;
-const runsOfTry = 2;
-const triesOfCaller = 2;
+const runsPerAttempt = 2;
+const attemptsPerCaller = 2;
 
 /** The simulation. */
 export class CrashModel {
@@ -98,9 +98,9 @@
 				this.#run(this.#nextOrdinary());
 			}
 
-			this.#takeDue();
+			this.#runDue();
 			this.#endRuns();
-			this.#takeOutage();
+			this.#applyOutage();
 		}
 
 		return {
@@ -120,12 +120,12 @@
 
 	#request(content: string, isPoison: boolean): Request {
 		return {
-			content, isPoison, isPopular: false, runsLeft: runsOfTry, triesLeft: isPoison ? Infinity : triesOfCaller,
+			content, isPoison, isPopular: false, runsLeft: runsPerAttempt, attemptsLeft: isPoison ? Infinity : attemptsPerCaller,
 		};
 	}
 
 	/** Crashes half of the replicas at once, without a poison request as the cause. */
-	#takeOutage() {
+	#applyOutage() {
 		if (!this.#load.outagesAt?.some(at => at <= this.#now && this.#now < at + stepMs)) {
 			return;
 		}
@@ -141,7 +141,7 @@
 		return suspicion !== undefined && excess >= 0 && this.#now < suspicion.lastCrashAt + (firstHoldMs * (2 ** Math.floor(excess)));
 	}
 
-	#takeDue() {
+	#runDue() {
 		const due = this.#due.filter(({at}) => at <= this.#now);
 		due.forEach(entry => {
 			this.#due.splice(this.#due.indexOf(entry), 1);
@@ -157,10 +157,10 @@
 		}
 
 		const {random} = this.#load;
-		const open = this.#engines.filter(({downUntil, runs}) => downUntil <= this.#now && runs.length < places);
+		const open = this.#engines.filter(({downUntil, runs}) => downUntil <= this.#now && runs.length < slots);
 		const [engine] = open.toSorted((a, b) => a.runs.length - b.runs.length || random.next() - 0.5);
 		if (!engine) {
-			this.#endTry(request);
+			this.#endAttempt(request);
 			return;
 		}
 
@@ -185,27 +185,27 @@
 
 	#crash(engine: Engine) {
 		const {runs} = engine;
-		Object.assign(engine, {downUntil: this.#now + awayMs, runs: []});
+		Object.assign(engine, {downUntil: this.#now + downMs, runs: []});
 		this.#ended += 1;
 		const contents = new Set(runs.map(({request}) => request.content));
 		contents.forEach(content => {
 			const before = this.#suspicions.get(content)?.weight ?? 0;
-			this.#suspicions.set(content, {weight: before + blameOf[this.#load.blame ?? 'each'](contents.size), lastCrashAt: this.#now});
+			this.#suspicions.set(content, {weight: before + blameWeights[this.#load.blame ?? 'each'](contents.size), lastCrashAt: this.#now});
 		});
 		runs.forEach(({request}) => {
 			if (request.runsLeft > 0) {
 				this.#run(request);
 			} else {
-				this.#endTry(request);
+				this.#endAttempt(request);
 			}
 		});
 	}
 
-	#endTry(request: Request) {
-		request.triesLeft -= 1;
-		request.runsLeft = runsOfTry;
-		if (request.triesLeft > 0) {
-			this.#due.push({at: this.#now + comesAgainMs, request});
+	#endAttempt(request: Request) {
+		request.attemptsLeft -= 1;
+		request.runsLeft = runsPerAttempt;
+		if (request.attemptsLeft > 0) {
+			this.#due.push({at: this.#now + retryDelayMs, request});
 		} else {
 			this.#lost += 1;
 		}
--- a/src/gateway/testing/grey-failure-model.ts
+++ b/src/gateway/testing/grey-failure-model.ts
@@ -32,16 +32,16 @@
 };
 
 const lengthMs = 30_000;
-const lastMs = 5000;
+const finalPeriodMs = 5000;
 const serviceMs = 700;
 const failureMs = 2;
 
 /** Runs the simulation. */
-export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded: isNoted, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
+export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
 	const all = Array.from({length: replicas}, (_, i) => new Replica({
 		id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 	}));
-	const [grey] = all;
+	const [failingReplica] = all;
 	let running: Array<{readonly replica: Replica; readonly endsAt: number; readonly hasFailed: boolean}> = [];
 	const counts = {
 		calls: 0, failed: 0, last: 0, lastAtGrey: 0,
@@ -49,7 +49,7 @@
 	for (let now = 0; now < lengthMs; now -= Math.log(1 - random.next()) * 1000 / perSecond) {
 		running.filter(run => run.endsAt <= now).forEach(({replica, hasFailed}) => {
 			replica.online -= 1;
-			if (isNoted) {
+			if (areOutcomesRecorded) {
 				replica.outcomes.note(hasFailed, now);
 			}
 		});
@@ -57,14 +57,14 @@
 		const replica = chooseForOnline(all, {
 			now, random, tried: new Set(), failureDomain: 'hall', processCount: 1, canFailOver: false,
 		})!;
-		const hasFailed = replica === grey && now < endsAt && random.next() < failing;
+		const hasFailed = replica === failingReplica && now < endsAt && random.next() < failing;
 		replica.online += 1;
 		running.push({replica, endsAt: now + (hasFailed ? failureMs : serviceMs), hasFailed});
 
 		counts.calls += 1;
 		counts.failed += hasFailed ? 1 : 0;
-		counts.last += now >= lengthMs - lastMs ? 1 : 0;
-		counts.lastAtGrey += now >= lengthMs - lastMs && replica === grey ? 1 : 0;
+		counts.last += now >= lengthMs - finalPeriodMs ? 1 : 0;
+		counts.lastAtGrey += now >= lengthMs - finalPeriodMs && replica === failingReplica ? 1 : 0;
 	}
 
 	return {failed: counts.failed / counts.calls, shareAtEnd: counts.lastAtGrey / counts.last};
--- a/src/gateway/testing/rate-limit-model.ts
+++ b/src/gateway/testing/rate-limit-model.ts
@@ -44,13 +44,13 @@
 export const modelWindowMs = 5000;
 
 const lengthMs = 20_000;
-const tellEveryMs = 100;
-const leastTravelMs = 1;
-const mostTravelMs = 30;
-const lostShare = 0.01;
+const announceEveryMs = 100;
+const minTransitMs = 1;
+const maxTransitMs = 30;
+const lossShare = 0.01;
 
 /** A process requests credit for the calls of this long from the authority, in seconds. */
-const aheadS = 0.2;
+const prefetchS = 0.2;
 
 /** Size of a credit message, in bytes: its headers, a name and two counts. */
 const creditBytes = 120;
@@ -58,39 +58,39 @@
 const account = branded<ClientAccountName>('a');
 const silentLog: EventLog = {emit: () => undefined};
 
-type Happening = {readonly at: number; readonly act: () => void};
+type ScheduledEvent = {readonly at: number; readonly act: () => void};
 
 /** Decides on calls at one process. */
 type Decider = {
 	admit(now: number): boolean;
 	/** Sends an announcement to the others and returns the size of one message in bytes; 0 if there is nothing to announce. */
-	tell?(now: number): number;
+	announce?(now: number): number;
 };
 
 class Timeline {
 	now = 0;
-	readonly #happenings: Happening[] = [];
+	readonly #pending: ScheduledEvent[] = [];
 
 	at(at: number, act: () => void): void {
-		this.#happenings.push({at, act});
+		this.#pending.push({at, act});
 	}
 
 	/** Runs all events in the order of their times. Most events are scheduled in advance, so they are sorted into buckets of a millisecond. */
 	run(untilMs: number): void {
-		const slots: Happening[][] = Array.from({length: untilMs + 1}, () => []);
-		const place = (happenings: readonly Happening[]) => {
-			happenings.filter(({at}) => at <= untilMs).forEach(happening => {
-				slots[Math.max(Math.ceil(this.now), Math.floor(happening.at))]!.push(happening);
+		const buckets: ScheduledEvent[][] = Array.from({length: untilMs + 1}, () => []);
+		const schedule = (events: readonly ScheduledEvent[]) => {
+			events.filter(({at}) => at <= untilMs).forEach(event => {
+				buckets[Math.max(Math.ceil(this.now), Math.floor(event.at))]!.push(event);
 			});
 		};
 
 		for (let ms = 0; ms <= untilMs; ms += 1) {
 			this.now = ms;
-			place(this.#happenings.splice(0));
-			const due = slots[ms]!;
-			for (let happening = due.shift(); happening; happening = due.shift()) {
-				happening.act();
-				place(this.#happenings.splice(0));
+			schedule(this.#pending.splice(0));
+			const due = buckets[ms]!;
+			for (let event = due.shift(); event; event = due.shift()) {
+				event.act();
+				schedule(this.#pending.splice(0));
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 	readonly #clock: Clock;
 	readonly #admittedAt: number[] = [];
 	#deciders: Decider[] = [];
-	#asked = 0;
+	#arrivedCalls = 0;
 	#messages = 0;
 	#bytes = 0;
 
@@ -115,7 +115,7 @@
 	run(): RateLimitOutcome {
 		const {processes, limit, restartAt} = this.#load;
 		this.#planCalls();
-		this.#planNews();
+		this.#planAnnouncements();
 		if (restartAt !== undefined) {
 			this.#timeline.at(restartAt, () => {
 				this.#start();
@@ -125,20 +125,20 @@
 		this.#timeline.run(lengthMs);
 		const allowed = (limit.perSecond * lengthMs / 1000) + limit.burst;
 		return {
-			maxInWindow: this.#mostInWindow(),
-			servedShare: this.#admittedAt.length / Math.min(this.#asked, allowed),
+			maxInWindow: this.#maxInWindow(),
+			servedShare: this.#admittedAt.length / Math.min(this.#arrivedCalls, allowed),
 			messagesPerSecond: this.#messages / processes / (lengthMs / 1000),
 			bytesPerSecond: this.#bytes / processes / (lengthMs / 1000),
 		};
 	}
 
 	#start() {
-		const ways: Readonly<Record<SharingStrategy, () => Decider[]>> = {
-			told: () => this.#startTold(),
-			parts: () => this.#startParts(),
+		const starters: Readonly<Record<SharingStrategy, () => Decider[]>> = {
+			told: () => this.#startAnnouncing(),
+			parts: () => this.#startEqualParts(),
 			authority: () => this.#startAuthority(),
 		};
-		this.#deciders = ways[this.#load.strategy]();
+		this.#deciders = starters[this.#load.strategy]();
 	}
 
 	#planCalls() {
@@ -148,7 +148,7 @@
 			at += -Math.log(1 - random.next()) * 1000 / perSecond;
 			const process = this.#drawProcess();
 			this.#timeline.at(at, () => {
-				this.#asked += 1;
+				this.#arrivedCalls += 1;
 				if (this.#deciders[process]!.admit(this.#timeline.now)) {
 					this.#admittedAt.push(this.#timeline.now);
 				}
@@ -161,31 +161,31 @@
 		return random.next() < firstShare || processes === 1 ? 0 : 1 + Math.floor(random.next() * (processes - 1));
 	}
 
-	#planNews() {
+	#planAnnouncements() {
 		const {processes, random} = this.#load;
 		Array.from({length: processes}, (_, i) => i).forEach(process => {
-			for (let at = random.next() * tellEveryMs; at < lengthMs; at += tellEveryMs) {
+			for (let at = random.next() * announceEveryMs; at < lengthMs; at += announceEveryMs) {
 				this.#timeline.at(at, () => {
-					this.#deciders[process]!.tell?.(this.#timeline.now);
+					this.#deciders[process]!.announce?.(this.#timeline.now);
 				});
 			}
 		});
 	}
 
-	#mostInWindow(): number {
+	#maxInWindow(): number {
 		let first = 0;
-		let most = 0;
+		let max = 0;
 		this.#admittedAt.forEach((at, last) => {
 			while (this.#admittedAt[first]! <= at - modelWindowMs) {
 				first += 1;
 			}
 
-			most = Math.max(most, last - first + 1);
+			max = Math.max(max, last - first + 1);
 		});
-		return most;
+		return max;
 	}
 
-	#isCutOff(process: number): boolean {
+	#isPartitioned(process: number): boolean {
 		const {cut, processes} = this.#load;
 		const {now} = this.#timeline;
 		return cut !== undefined && process >= processes - cut.processes && now >= cut.from && now < cut.until;
@@ -196,22 +196,22 @@
 		const {random} = this.#load;
 		this.#messages += 1;
 		this.#bytes += bytes;
-		if (random.next() >= lostShare && this.#isCutOff(from) === this.#isCutOff(to) && !this.#isCutOff(from)) {
-			this.#timeline.at(this.#timeline.now + leastTravelMs + (random.next() * (mostTravelMs - leastTravelMs)), act);
+		if (random.next() >= lossShare && this.#isPartitioned(from) === this.#isPartitioned(to) && !this.#isPartitioned(from)) {
+			this.#timeline.at(this.#timeline.now + minTransitMs + (random.next() * (maxTransitMs - minTransitMs)), act);
 		}
 	}
 
-	#startTold(): Decider[] {
+	#startAnnouncing(): Decider[] {
 		const {processes, limit} = this.#load;
 		const names = Array.from({length: processes}, (_, i) => branded<MemberName>(`p${i}`));
 		const startedAt = this.#timeline.now;
-		const heardBy = (process: number): ReadonlySet<MemberName> => new Set(names.filter((_, i) => i !== process && !this.#isCutOff(i) && !this.#isCutOff(process)));
+		const reachablePeers = (process: number): ReadonlySet<MemberName> => new Set(names.filter((_, i) => i !== process && !this.#isPartitioned(i) && !this.#isPartitioned(process)));
 		const limits = names.map((_, process) => new RateLimits({
-			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registeredCount: () => processes, livePeers: () => heardBy(process),
+			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registeredCount: () => processes, livePeers: () => reachablePeers(process),
 		}));
 		return limits.map((own, process) => ({
 			admit: () => 'credit' in own.admit({name: account, accountKeys: [], rateLimit: limit}),
-			tell: () => {
+			announce: () => {
 				const accountUsage = own.announcement();
 				if (accountUsage.length === 0) {
 					return 0;
@@ -230,7 +230,7 @@
 		}));
 	}
 
-	#startParts(): Decider[] {
+	#startEqualParts(): Decider[] {
 		const {processes, limit: {perSecond, burst}} = this.#load;
 		const limit = {perSecond: perSecond / processes, burst: burst / processes};
 		return Array.from({length: processes}, () => {
@@ -255,31 +255,31 @@
 		};
 
 		return Array.from({length: processes}, (_, process) => {
-			const own = {credit: 0, asked: 0, isAsking: false};
-			const ask = () => {
-				if (own.isAsking) {
+			const own = {credit: 0, recentCalls: 0, isRequesting: false};
+			const requestCredit = () => {
+				if (own.isRequesting) {
 					return;
 				}
 
-				own.isAsking = true;
-				const wanted = Math.max(1, Math.ceil(own.asked * aheadS));
-				this.#timeline.at(this.#timeline.now + tellEveryMs, () => {
-					own.isAsking = false;
+				own.isRequesting = true;
+				const wanted = Math.max(1, Math.ceil(own.recentCalls * prefetchS));
+				this.#timeline.at(this.#timeline.now + announceEveryMs, () => {
+					own.isRequesting = false;
 				});
 				this.#send(process, 0, creditBytes, () => {
 					const granted = draw(wanted);
 					this.#send(0, process, creditBytes, () => {
 						own.credit += granted;
-						own.isAsking = false;
+						own.isRequesting = false;
 					});
 				});
 			};
 
 			return {
 				admit: () => {
-					own.asked += 1;
+					own.recentCalls += 1;
 					this.#timeline.at(this.#timeline.now + 1000, () => {
-						own.asked -= 1;
+						own.recentCalls -= 1;
 					});
 					if (process === 0) {
 						return draw(1) === 1;
@@ -287,8 +287,8 @@
 
 					const isAdmitted = own.credit >= 1;
 					own.credit -= isAdmitted ? 1 : 0;
-					if (own.credit < own.asked * aheadS / 2 || !isAdmitted) {
-						ask();
+					if (own.credit < own.recentCalls * prefetchS / 2 || !isAdmitted) {
+						requestCredit();
 					}
 
 					return isAdmitted;
--- a/src/gateway/testing/wave-model.ts
+++ b/src/gateway/testing/wave-model.ts
@@ -40,7 +40,7 @@
 
 type Call = {readonly from: number; readonly arrivedAt: number; readonly isRerun: boolean};
 
-type Happening = {readonly at: number; readonly act: () => void};
+type ScheduledEvent = {readonly at: number; readonly act: () => void};
 
 const lengthMs = 26_400;
 const periodMs = 6600;
@@ -48,20 +48,20 @@
 const calmLevel = 0.377;
 const highLevel = 1.84;
 const serviceMs = 680;
-const serviceSpread = 0.4;
+const serviceTimeSpread = 0.4;
 
 /** Time at which replicas are added, in milliseconds: half a second into a wave, when all others are full. */
-const joinAt = periodMs + calmMs + 500;
-const joinWatchMs = 1000;
+const addedAt = periodMs + calmMs + 500;
+const addedWindowMs = 1000;
 
 /** Interval at which processes announce outcomes, in milliseconds, as fronts do. */
-const outcomesEveryMs = 250;
+const announceOutcomesEveryMs = 250;
 
 /** Time from the start of a run to the loss of its answer, in milliseconds: at the first event. */
-const lostMs = 30;
+const lossDelayMs = 30;
 
 /** A wait that, with transit and prompt processing, delays the first event beyond a latency target of 300 ms. */
-const lateMs = 250;
+const maxWaitMs = 250;
 
 const levelAt = (now: number): number => now % periodMs < calmMs ? calmLevel : highLevel;
 
@@ -71,11 +71,11 @@
 	readonly #views: readonly Replica[][];
 	readonly #running: number[];
 	readonly #queues: Call[][];
-	readonly #happenings: Happening[] = [];
+	readonly #scheduled: ScheduledEvent[] = [];
 	readonly #waits: number[] = [];
-	readonly #outcomesToldAt: number[];
-	readonly #callsOfFirstSecond = {atJoined: 0, elsewhere: 0};
-	#mostAtJoined = 0;
+	readonly #outcomesAnnouncedAt: number[];
+	readonly #callsOfFirstSecond = {atAdded: 0, elsewhere: 0};
+	#maxAtAdded = 0;
 	#now = 0;
 
 	constructor(wave: Wave) {
@@ -84,37 +84,37 @@
 		this.#views = Array.from({length: processes}, () => Array.from({length: replicas}, (_, i) => new Replica({
 			id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 		})));
-		this.#outcomesToldAt = Array.from({length: processes}, () => 0);
+		this.#outcomesAnnouncedAt = Array.from({length: processes}, () => 0);
 		this.#running = Array.from({length: replicas}, () => 0);
 		this.#queues = Array.from({length: replicas}, () => []);
 	}
 
 	/** Runs the simulation; if replicas are added, only until their first second is over. @returns The share of calls that waited too long for a slot. */
 	run(): number {
-		const {processes, announceEveryMs: gatherMs, random, addedReplicas: joining} = this.#wave;
-		const endsAt = joining ? joinAt + joinWatchMs : lengthMs;
+		const {processes, announceEveryMs, random, addedReplicas} = this.#wave;
+		const endsAt = addedReplicas ? addedAt + addedWindowMs : lengthMs;
 		this.#views.forEach((_, process) => {
-			this.#at(random.next() * gatherMs, () => {
-				this.#tell(process);
+			this.#at(random.next() * announceEveryMs, () => {
+				this.#announce(process);
 			});
 		});
 		this.#at(0, () => {
 			this.#arrive(Math.floor(random.next() * processes));
 		});
 		while (this.#now < endsAt) {
-			const next = this.#happenings.shift()!;
+			const next = this.#scheduled.shift()!;
 			this.#now = next.at;
 			next.act();
 		}
 
-		return this.#waits.filter(wait => wait > lateMs).length / this.#waits.length;
+		return this.#waits.filter(wait => wait > maxWaitMs).length / this.#waits.length;
 	}
 
 	/** Calls at the added replicas. Valid after `run`. */
 	get joined(): AddedReplicasOutcome {
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const {atJoined, elsewhere} = this.#callsOfFirstSecond;
-		return {callRatio: (atJoined / joining) / (elsewhere / (replicas - joining)), maxCalls: this.#mostAtJoined};
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const {atAdded, elsewhere} = this.#callsOfFirstSecond;
+		return {callRatio: (atAdded / addedReplicas) / (elsewhere / (replicas - addedReplicas)), maxCalls: this.#maxAtAdded};
 	}
 
 	#arrive(process: number) {
@@ -127,53 +127,53 @@
 	}
 
 	#send(call: Call) {
-		const {processes, random, assumedProcessCount: sharersTold = processes} = this.#wave;
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const known = this.#now < joinAt ? replicas - joining : replicas;
-		const view = this.#views[call.from]!.slice(0, known);
+		const {processes, random, assumedProcessCount = processes} = this.#wave;
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const replicaCount = this.#now < addedAt ? replicas - addedReplicas : replicas;
+		const view = this.#views[call.from]!.slice(0, replicaCount);
 		const chosen = chooseForOnline(view, {
-			now: this.#now, random, tried: new Set(), failureDomain: 'hall', processCount: sharersTold, canFailOver: true,
+			now: this.#now, random, tried: new Set(), failureDomain: 'hall', processCount: assumedProcessCount, canFailOver: true,
 		})!;
 		chosen.online += 1;
 		const index = view.indexOf(chosen);
-		this.#offer(index, call);
-		this.#noteJoin(index);
+		this.#startOrQueue(index, call);
+		this.#recordAddedCall(index);
 	}
 
-	#noteJoin(replica: number) {
-		if (this.#now < joinAt || this.#now > joinAt + joinWatchMs) {
+	#recordAddedCall(replica: number) {
+		if (this.#now < addedAt || this.#now > addedAt + addedWindowMs) {
 			return;
 		}
 
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const isJoined = replica >= replicas - joining;
-		this.#callsOfFirstSecond[isJoined ? 'atJoined' : 'elsewhere'] += 1;
-		if (isJoined) {
-			this.#mostAtJoined = Math.max(this.#mostAtJoined, this.#running[replica]! + this.#queues[replica]!.length);
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const isAdded = replica >= replicas - addedReplicas;
+		this.#callsOfFirstSecond[isAdded ? 'atAdded' : 'elsewhere'] += 1;
+		if (isAdded) {
+			this.#maxAtAdded = Math.max(this.#maxAtAdded, this.#running[replica]! + this.#queues[replica]!.length);
 		}
 	}
 
-	#offer(replica: number, call: Call) {
+	#startOrQueue(replica: number, call: Call) {
 		if (this.#running[replica]! >= this.#wave.slots) {
 			this.#queues[replica]!.push(call);
 			return;
 		}
 
 		this.#running[replica]! += 1;
-		this.#begin(replica, call);
+		this.#startRun(replica, call);
 	}
 
-	#begin(replica: number, call: Call) {
+	#startRun(replica: number, call: Call) {
 		const {from, arrivedAt, isRerun} = call;
 		const isLost = this.#losesAnswer(replica);
 		if (!isRerun) {
 			this.#waits.push(this.#now - arrivedAt);
 		}
 
-		const takesMs = serviceMs * (1 - serviceSpread + (2 * serviceSpread * this.#wave.random.next()));
-		this.#at(this.#now + (isLost ? lostMs : takesMs), () => {
+		const takesMs = serviceMs * (1 - serviceTimeSpread + (2 * serviceTimeSpread * this.#wave.random.next()));
+		this.#at(this.#now + (isLost ? lossDelayMs : takesMs), () => {
 			this.#views[from]![replica]!.online -= 1;
-			this.#noteOutcome(this.#views[from]![replica]!, isLost);
+			this.#recordOutcome(this.#views[from]![replica]!, isLost);
 			this.#running[replica]! -= 1;
 			if (isLost) {
 				this.#send({...call, isRerun: true});
@@ -181,32 +181,32 @@
 
 			const next = this.#queues[replica]!.shift();
 			if (next) {
-				this.#offer(replica, next);
+				this.#startOrQueue(replica, next);
 			}
 		});
 	}
 
 	#losesAnswer(replica: number): boolean {
-		const {lossShare: losing = 0, random, replicas} = this.#wave;
-		return losing > 0 && replica < replicas / 2 && random.next() < losing;
+		const {lossShare = 0, random, replicas} = this.#wave;
+		return lossShare > 0 && replica < replicas / 2 && random.next() < lossShare;
 	}
 
-	#noteOutcome({outcomes}: Replica, hasFailed: boolean) {
+	#recordOutcome({outcomes}: Replica, hasFailed: boolean) {
 		if (hasFailed || this.#wave.lossAccounting !== 'count') {
 			outcomes.note(hasFailed, this.#now);
 		}
 	}
 
-	#tell(process: number) {
-		const isOutcomesTold = this.#now - this.#outcomesToldAt[process]! >= outcomesEveryMs;
-		this.#outcomesToldAt[process] = isOutcomesTold ? this.#now : this.#outcomesToldAt[process]!;
+	#announce(process: number) {
+		const includesOutcomes = this.#now - this.#outcomesAnnouncedAt[process]! >= announceOutcomesEveryMs;
+		this.#outcomesAnnouncedAt[process] = includesOutcomes ? this.#now : this.#outcomesAnnouncedAt[process]!;
 		const member = branded<MemberName>(`front-${process}`);
-		const told = this.#views[process]!.map(({online, outcomes}) => ({
-			online, outcomes: isOutcomesTold && outcomes.failureShare(this.#now) > 0 ? outcomes.ownCounts(this.#now) : undefined,
+		const announced = this.#views[process]!.map(({online, outcomes}) => ({
+			online, outcomes: includesOutcomes && outcomes.failureShare(this.#now) > 0 ? outcomes.ownCounts(this.#now) : undefined,
 		}));
 		this.#views.filter((_, other) => other !== process).forEach(view => {
 			view.forEach((replica, i) => {
-				const {online, outcomes} = told[i]!;
+				const {online, outcomes} = announced[i]!;
 				replica.setPeerLoad(member, {online, batch: 0});
 				if (outcomes) {
 					replica.outcomes.receivePeerCounts(member, outcomes, this.#now);
@@ -214,13 +214,13 @@
 			});
 		});
 		this.#at(this.#now + this.#wave.announceEveryMs, () => {
-			this.#tell(process);
+			this.#announce(process);
 		});
 	}
 
 	/** Inserts an event in the order of time; events at the same time stay in the order of insertion. */
 	#at(at: number, act: () => void) {
-		const before = this.#happenings.findLastIndex(happening => happening.at <= at);
-		this.#happenings.splice(before + 1, 0, {at, act});
+		const before = this.#scheduled.findLastIndex(event => event.at <= at);
+		this.#scheduled.splice(before + 1, 0, {at, act});
 	}
 }
