--- a/src/gateway/testing/batch-wave-model.ts
+++ b/src/gateway/testing/batch-wave-model.ts
@@ -1,27 +1,27 @@
 /**
-Batch items in the places that waves of online calls leave, in virtual time and without a network: by default one process that sees everything, so that only the order of the items decides; or several, each with jobs of its own, that share the free places.
+Simulates batch items in the slots that waves of online calls leave free, in virtual time and without a network. By default a single process sees all items, so that only their order decides; optionally, several processes with their own jobs share the free slots.
 
-The wave is that of the busiest deployments: for 3.4 s calls take a quarter of the places, then for 2.4 s all of them. Items are due 18 s after they were submitted, as there, and ten come at once.
+The wave is that of the busiest deployments: for 3.4 s calls occupy a quarter of the slots, then for 2.4 s all of them. As there, items are due 18 s after their submission; ten are submitted at once.
 */
 import type {RandomSource} from '../../common/services.js';
 import {
 	slotAllowance, initialRunEstimate, byUrgency, countWaiting, updateEstimate, updateSlowdown, type RunEstimate, type WaitingItem,
 } from '../batch/batch-policy.js';
 
-/** The load. */
+/** The simulated load. */
 export type BatchWave = {
 	readonly places: number;
-	/** Items a second, on the mean. */
+	/** Mean number of items per second. */
 	readonly perSecond: number;
-	/** Decides the jobs. */
+	/** Generates the jobs. */
 	readonly random: RandomSource;
-	/** Decides the rest, so that two plays have the same jobs. */
+	/** Generates all other random values, so that two simulations have the same jobs. */
 	readonly draws?: RandomSource;
-	/** Whether interruptions are learnt. */
+	/** Whether the slowdown by preemptions is estimated. */
 	readonly isSlowdownEstimated: boolean;
-	/** Processes among which the jobs are spread by lot. */
+	/** Number of processes, among which the jobs are distributed at random. */
 	readonly processes?: number;
-	/** Whether each takes places by how many items wait at it and at the others, and not an equal share. */
+	/** Whether each process takes slots in proportion to its share of the waiting items, instead of an equal share. */
 	readonly isProportional?: boolean;
 };
 
@@ -38,22 +38,22 @@
 const stepMs = 50;
 const periodMs = 5800;
 const calmMs = 3400;
-const calmShare = 0.27;
+const calmOnlineShare = 0.27;
 const dueMs = 18_000;
-const itemsAtOnce = 10;
+const itemsPerJob = 10;
 const msPerEvent = 31;
 const eventsOfItem = 157;
-const spread = 0.4;
+const lengthSpread = 0.4;
 
-/** What each process says that it has, where all are to take equal shares; more than all places. */
-const equalPart = {timely: 1000, late: 0};
+/** Waiting items that each process reports if all are to take equal shares; more than there are slots. */
+const equalDemand = {timely: 1000, late: 0};
 
-/** See the module's head. */
+/** The simulation. */
 export class BatchWaveModel {
 	readonly #wave: BatchWave;
 	#items: Item[] = [];
 	#length: RunEstimate;
-	#nextAt = 0;
+	#nextSubmissionAt = 0;
 	#onTime = 0;
 	#due = 0;
 
@@ -62,12 +62,12 @@
 		this.#length = wave.isSlowdownEstimated ? initialRunEstimate : {...initialRunEstimate, slowdown: 1, slowdownDeviation: 0};
 	}
 
-	/** @returns The share of items that were done by their time. */
+	/** @returns The share of items that were done by their due time. */
 	run(): number {
 		for (let now = 0; now < lengthMs; now += stepMs) {
 			this.#submit(now);
-			this.#place(now);
-			this.#go(now + stepMs);
+			this.#assignSlots(now);
+			this.#advance(now + stepMs);
 		}
 
 		return this.#onTime / this.#due;
@@ -75,36 +75,36 @@
 
 	#submit(now: number) {
 		const {perSecond, random, draws = random, processes = 1} = this.#wave;
-		while (this.#nextAt <= now) {
-			const dueAt = this.#nextAt + dueMs;
+		while (this.#nextSubmissionAt <= now) {
+			const dueAt = this.#nextSubmissionAt + dueMs;
 			const process = processes === 1 ? 0 : Math.floor(draws.next() * processes);
-			this.#items.push(...Array.from({length: itemsAtOnce}, () => ({
-				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - spread + (2 * spread * random.next()))), isRunning: false, begunAt: undefined, ranMs: 0,
+			this.#items.push(...Array.from({length: itemsPerJob}, () => ({
+				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - lengthSpread + (2 * lengthSpread * random.next()))), isRunning: false, begunAt: undefined, ranMs: 0,
 			})));
-			this.#due += dueAt < lengthMs ? itemsAtOnce : 0;
-			this.#nextAt -= Math.log(1 - random.next()) * 1000 * itemsAtOnce / perSecond;
+			this.#due += dueAt < lengthMs ? itemsPerJob : 0;
+			this.#nextSubmissionAt -= Math.log(1 - random.next()) * 1000 * itemsPerJob / perSecond;
 		}
 	}
 
-	/** Cuts off what is too much, least work first, and fills what is free in the order of the policy. */
-	#place(now: number) {
+	/** Preempts excess items, those with the least work done first, and fills free slots in the order of the policy. */
+	#assignSlots(now: number) {
 		const {places} = this.#wave;
-		const free = now % periodMs < calmMs ? Math.floor(places * (1 - calmShare)) : 0;
+		const free = now % periodMs < calmMs ? Math.floor(places * (1 - calmOnlineShare)) : 0;
 		const running = this.#items.filter(({isRunning}) => isRunning).toSorted((a, b) => b.events - a.events);
 		running.slice(free).forEach(item => {
 			item.isRunning = false;
 		});
-		this.#share(Math.max(0, free - running.length), now);
+		this.#distribute(Math.max(0, free - running.length), now);
 	}
 
-	/** Each process fills its part of the free places with the most urgent of its items. */
-	#share(free: number, now: number) {
-		const {processes = 1, random, draws = random, isProportional: isCompared = true} = this.#wave;
+	/** Each process fills its share of the free slots with its most urgent items. */
+	#distribute(free: number, now: number) {
+		const {processes = 1, random, draws = random, isProportional = true} = this.#wave;
 		const waiting = this.#items.filter(({isRunning}) => !isRunning).toSorted(byUrgency(this.#length, now));
 		const byProcess = Array.from({length: processes}, (_, own) => waiting.filter(({process}) => process === own)).filter(({length}) => length > 0);
 		const all = countWaiting(waiting, this.#length, now);
 		byProcess.forEach(items => {
-			const counts = isCompared ? {own: countWaiting(items, this.#length, now), all} : {own: equalPart, all: {timely: byProcess.length * equalPart.timely, late: 0}};
+			const counts = isProportional ? {own: countWaiting(items, this.#length, now), all} : {own: equalDemand, all: {timely: byProcess.length * equalDemand.timely, late: 0}};
 			items.slice(0, slotAllowance(free, counts, draws.next())).forEach(item => {
 				item.isRunning = true;
 				item.begunAt ??= now;
@@ -112,7 +112,7 @@
 		});
 	}
 
-	#go(now: number) {
+	#advance(now: number) {
 		this.#items.filter(({isRunning}) => isRunning).forEach(item => {
 			item.events += stepMs / msPerEvent;
 			item.ranMs += stepMs;
@@ -121,11 +121,11 @@
 		this.#items = this.#items.filter(({events, total}) => events < total);
 		done.forEach(item => {
 			this.#onTime += item.dueAt < lengthMs && now <= item.dueAt ? 1 : 0;
-			this.#learn(item, now);
+			this.#recordRun(item, now);
 		});
 	}
 
-	#learn({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
+	#recordRun({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
 		const length = updateEstimate(this.#length, {events: total, elapsedMs: ranMs, total});
 		this.#length = this.#wave.isSlowdownEstimated && now <= dueAt ? updateSlowdown(length, {elapsedMs: now - begunAt, ranMs}) : length;
 	}
--- a/src/gateway/testing/crash-model.ts
+++ b/src/gateway/testing/crash-model.ts
@@ -1,43 +1,43 @@
 /**
-A service whose replicas a few requests end, again and again, in virtual time and without a network.
+Simulates a service with a few requests that repeatedly crash its replicas, in virtual time and without a network.
 
-The load is that of departure boards on the users' deployments: 13 replicas of 8 places, calls of 0.8 s that fill about half of them. A call that loses its replica is run once more at another one, and its caller sends it once more. A poison request ends its replica 0.1 s after it has begun; it comes again 0.15 s after each failure, and its replica is back after 3.2 s.
+The load is that of departure boards on the users' deployments: 13 replicas of 8 slots, and calls of 0.8 s that fill about half of them. A call whose replica crashes is rerun once at another replica, and its caller sends it once more. A poison request crashes its replica 0.1 s after it has started and is sent again 0.15 s after each failure; a crashed replica is back after 3.2 s.
 */
 import type {RandomSource} from '../../common/services.js';
 
-/** The load. */
+/** The simulated load. */
 export type PoisonLoad = {
-	/** Poison requests that come again and again. */
+	/** Number of poison requests, which are sent again after each failure. */
 	readonly poison: number;
 	readonly perSecond: number;
-	/** Replicas that may end under a request before it is held back. */
+	/** Number of crashes during a request after which it is quarantined. */
 	readonly crashThreshold: number;
 	readonly random: RandomSource;
-	/** How a crash counts against the requests that were there; `each` by default. */
+	/** How a crash is attributed to the requests on the replica; `each` by default. */
 	readonly blame?: Blame;
-	/** Share of the ordinary calls that all ask for the same. */
+	/** Share of the ordinary calls that have identical content. */
 	readonly popularShare?: number;
-	/** When half of the replicas end at once for no fault of a request, in milliseconds. */
+	/** Times at which half of the replicas crash at once without being caused by a request, in milliseconds. */
 	readonly outagesAt?: readonly number[];
 };
 
-/** `each`: one for each request that was there. `shared`: one in all, in equal parts. */
+/** `each`: one crash for each request on the replica. `shared`: one crash in total, divided equally. */
 export type Blame = 'each' | 'shared';
 
-const blameOf: Readonly<Record<Blame, (requests: number) => number>> = {
+const blameWeights: Readonly<Record<Blame, (requests: number) => number>> = {
 	each: () => 1,
 	shared: requests => 1 / requests,
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type PoisonOutcome = {
-	/** Replicas that ended. */
+	/** Number of crashes. */
 	readonly ended: number;
-	/** Ordinary requests in all, and those of them that were held back, or got no whole answer for another reason. */
+	/** Number of ordinary requests, of those wrongly quarantined, and of those without a complete answer for another reason. */
 	readonly ordinary: number;
 	readonly heldWrongly: number;
 	readonly lost: number;
-	/** Popular requests in all, and those of them that were held back. */
+	/** Number of requests with the popular content, and of those quarantined. */
 	readonly popular: number;
 	readonly popularHeld: number;
 };
@@ -47,30 +47,30 @@
 	readonly isPoison: boolean;
 	readonly isPopular: boolean;
 	runsLeft: number;
-	triesLeft: number;
+	attemptsLeft: number;
 };
 
 type Run = {readonly request: Request; readonly endsAt: number};
 
 type Engine = {downUntil: number; runs: Run[]};
 
-/** Times in milliseconds, as the head tells them. */
+/** Times in milliseconds, see the head of the module. */
 const lengthMs = 30_000;
 const stepMs = 5;
 const engines = 13;
-const places = 8;
+const slots = 8;
 const ordinaryMs = 800;
 const poisonMs = 100;
-const comesAgainMs = 150;
-const awayMs = 3200;
+const retryDelayMs = 150;
+const downMs = 3200;
 const firstHoldMs = 30_000;
-const runsOfTry = 2;
-const triesOfCaller = 2;
+const runsPerAttempt = 2;
+const attemptsPerCaller = 2;
 
-/** See the module's head. */
+/** The simulation. */
 export class CrashModel {
 	readonly #load: PoisonLoad;
-	/** By content, how much speaks against it and when the last crash was. */
+	/** Weight of the crashes attributed to each content, and the time of the last one. */
 	readonly #suspicions = new Map<string, {weight: number; lastCrashAt: number}>();
 	readonly #engines: Engine[] = Array.from({length: engines}, () => ({downUntil: 0, runs: []}));
 
@@ -98,9 +98,9 @@
 				this.#run(this.#nextOrdinary());
 			}
 
-			this.#takeDue();
+			this.#runDue();
 			this.#endRuns();
-			this.#takeOutage();
+			this.#applyOutage();
 		}
 
 		return {
@@ -120,12 +120,12 @@
 
 	#request(content: string, isPoison: boolean): Request {
 		return {
-			content, isPoison, isPopular: false, runsLeft: runsOfTry, triesLeft: isPoison ? Infinity : triesOfCaller,
+			content, isPoison, isPopular: false, runsLeft: runsPerAttempt, attemptsLeft: isPoison ? Infinity : attemptsPerCaller,
 		};
 	}
 
-	/** Half of the replicas end at once, none of them under a poison request. */
-	#takeOutage() {
+	/** Crashes half of the replicas at once, without a poison request as the cause. */
+	#applyOutage() {
 		if (!this.#load.outagesAt?.some(at => at <= this.#now && this.#now < at + stepMs)) {
 			return;
 		}
@@ -141,7 +141,7 @@
 		return suspicion !== undefined && excess >= 0 && this.#now < suspicion.lastCrashAt + (firstHoldMs * (2 ** Math.floor(excess)));
 	}
 
-	#takeDue() {
+	#runDue() {
 		const due = this.#due.filter(({at}) => at <= this.#now);
 		due.forEach(entry => {
 			this.#due.splice(this.#due.indexOf(entry), 1);
@@ -157,10 +157,10 @@
 		}
 
 		const {random} = this.#load;
-		const open = this.#engines.filter(({downUntil, runs}) => downUntil <= this.#now && runs.length < places);
+		const open = this.#engines.filter(({downUntil, runs}) => downUntil <= this.#now && runs.length < slots);
 		const [engine] = open.toSorted((a, b) => a.runs.length - b.runs.length || random.next() - 0.5);
 		if (!engine) {
-			this.#endTry(request);
+			this.#endAttempt(request);
 			return;
 		}
 
@@ -185,27 +185,27 @@
 
 	#crash(engine: Engine) {
 		const {runs} = engine;
-		Object.assign(engine, {downUntil: this.#now + awayMs, runs: []});
+		Object.assign(engine, {downUntil: this.#now + downMs, runs: []});
 		this.#ended += 1;
 		const contents = new Set(runs.map(({request}) => request.content));
 		contents.forEach(content => {
 			const before = this.#suspicions.get(content)?.weight ?? 0;
-			this.#suspicions.set(content, {weight: before + blameOf[this.#load.blame ?? 'each'](contents.size), lastCrashAt: this.#now});
+			this.#suspicions.set(content, {weight: before + blameWeights[this.#load.blame ?? 'each'](contents.size), lastCrashAt: this.#now});
 		});
 		runs.forEach(({request}) => {
 			if (request.runsLeft > 0) {
 				this.#run(request);
 			} else {
-				this.#endTry(request);
+				this.#endAttempt(request);
 			}
 		});
 	}
 
-	#endTry(request: Request) {
-		request.triesLeft -= 1;
-		request.runsLeft = runsOfTry;
-		if (request.triesLeft > 0) {
-			this.#due.push({at: this.#now + comesAgainMs, request});
+	#endAttempt(request: Request) {
+		request.attemptsLeft -= 1;
+		request.runsLeft = runsPerAttempt;
+		if (request.attemptsLeft > 0) {
+			this.#due.push({at: this.#now + retryDelayMs, request});
 		} else {
 			this.#lost += 1;
 		}
--- a/src/gateway/testing/grey-failure-model.ts
+++ b/src/gateway/testing/grey-failure-model.ts
@@ -1,7 +1,7 @@
 /**
-One process that sends calls to replicas of which one fails a part of them at once, in virtual time and without a network.
+Simulates a process that sends calls to replicas, one of which immediately fails a share of them (a grey failure), in virtual time and without a network.
 
-The load is that of a plain service or a small model on the users' deployments: calls take 0.7 s, about half of the places are in use, and a failed call is over after 2 ms.
+The load is that of a plain service or a small model on the users' deployments: calls take 0.7 s, about half of the slots are in use, and a failed call ends after 2 ms.
 */
 import {branded} from '../../common/ids.js';
 import type {RandomSource} from '../../common/services.js';
@@ -9,7 +9,7 @@
 import {Replica} from '../replica.js';
 import type {GatewayServiceName, ReplicaId} from '../types.js';
 
-/** The load and the fault. */
+/** The simulated load and fault. */
 export type GreyFailure = {
 	readonly replicas: number;
 	readonly slots: number;
@@ -17,31 +17,31 @@
 	/** Share of its calls that the first replica fails. */
 	readonly failing: number;
 	readonly random: RandomSource;
-	/** Whether outcomes are noted. */
+	/** Whether outcomes are recorded. */
 	readonly areOutcomesRecorded: boolean;
 	/** When the fault ends, in milliseconds. */
 	readonly endsAt?: number;
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type GreyFailureOutcome = {
 	/** Share of all calls that failed. */
 	readonly failed: number;
-	/** Share of the calls of the last 5 s that went to the first replica. */
+	/** Share of the calls in the last 5 s that were sent to the first replica. */
 	readonly shareAtEnd: number;
 };
 
 const lengthMs = 30_000;
-const lastMs = 5000;
+const finalPeriodMs = 5000;
 const serviceMs = 700;
 const failureMs = 2;
 
-/** @returns What came of the calls. */
-export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded: isNoted, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
+/** Runs the simulation. */
+export const simulateGreyFailure = ({replicas, slots, perSecond, failing, random, areOutcomesRecorded, endsAt = Infinity}: GreyFailure): GreyFailureOutcome => {
 	const all = Array.from({length: replicas}, (_, i) => new Replica({
 		id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 	}));
-	const [grey] = all;
+	const [failingReplica] = all;
 	let running: Array<{readonly replica: Replica; readonly endsAt: number; readonly hasFailed: boolean}> = [];
 	const counts = {
 		calls: 0, failed: 0, last: 0, lastAtGrey: 0,
@@ -49,7 +49,7 @@
 	for (let now = 0; now < lengthMs; now -= Math.log(1 - random.next()) * 1000 / perSecond) {
 		running.filter(run => run.endsAt <= now).forEach(({replica, hasFailed}) => {
 			replica.online -= 1;
-			if (isNoted) {
+			if (areOutcomesRecorded) {
 				replica.outcomes.note(hasFailed, now);
 			}
 		});
@@ -57,14 +57,14 @@
 		const replica = chooseForOnline(all, {
 			now, random, tried: new Set(), failureDomain: 'hall', processCount: 1, canFailOver: false,
 		})!;
-		const hasFailed = replica === grey && now < endsAt && random.next() < failing;
+		const hasFailed = replica === failingReplica && now < endsAt && random.next() < failing;
 		replica.online += 1;
 		running.push({replica, endsAt: now + (hasFailed ? failureMs : serviceMs), hasFailed});
 
 		counts.calls += 1;
 		counts.failed += hasFailed ? 1 : 0;
-		counts.last += now >= lengthMs - lastMs ? 1 : 0;
-		counts.lastAtGrey += now >= lengthMs - lastMs && replica === grey ? 1 : 0;
+		counts.last += now >= lengthMs - finalPeriodMs ? 1 : 0;
+		counts.lastAtGrey += now >= lengthMs - finalPeriodMs && replica === failingReplica ? 1 : 0;
 	}
 
 	return {failed: counts.failed / counts.calls, shareAtEnd: counts.lastAtGrey / counts.last};
--- a/src/gateway/testing/rate-limit-model.ts
+++ b/src/gateway/testing/rate-limit-model.ts
@@ -1,96 +1,96 @@
 /**
-Processes that hold an account to its rate limit together, in virtual time and without a network: calls arrive at random, and what one process tells reaches the others late, or is lost.
+Simulates processes that jointly enforce the rate limit of an account, in virtual time and without a network. Calls arrive at random, and the announcements of a process reach the others late, or are lost.
 */
 import type {Clock, EventLog, RandomSource} from '../../common/services.js';
 import {branded} from '../../common/ids.js';
 import {RateLimits} from '../accounts/rate-limits.js';
 import type {ClientAccountName, MemberName, RateLimit} from '../types.js';
 
-/** How the processes share a limit. `told`: each hears of the others' admissions. `parts`: each has an equal part to itself. `authority`: one process hands credit out to the others, some calls ahead. */
+/** How the processes share a limit. `told`: each announces its admissions to the others. `parts`: each enforces an equal part of the limit on its own. `authority`: one process grants credit to the others, some calls ahead. */
 export type SharingStrategy = 'told' | 'parts' | 'authority';
 
-/** The fleet and its load. */
+/** The simulated processes and their load. */
 export type RateLimitLoad = {
 	readonly processes: number;
 	readonly limit: RateLimit;
-	/** Calls a second of the account, over all processes. */
+	/** Calls of the account per second, over all processes. */
 	readonly perSecond: number;
-	/** The share of the calls that comes to the first process; the others get equal parts of the rest. An equal part by default. */
+	/** Share of the calls that the first process receives; the others receive equal parts of the rest. An equal part by default. */
 	readonly firstShare?: number;
 	readonly random: RandomSource;
 	readonly strategy: SharingStrategy;
-	/** Within these milliseconds, the last so many processes neither hear the others nor are heard. */
+	/** Partitions the last so many processes from the others, from and until these times in milliseconds. */
 	readonly cut?: {readonly processes: number; readonly from: number; readonly until: number};
-	/** All processes are started anew at this moment, in milliseconds. */
+	/** Time at which all processes are restarted, in milliseconds. */
 	readonly restartAt?: number;
 };
 
-/** What came of it. */
+/** The result of a simulation. */
 export type RateLimitOutcome = {
-	/** The most calls that were admitted within any window. */
+	/** Maximum number of calls admitted within any window. */
 	readonly maxInWindow: number;
-	/** Admitted calls, of those that the limit allows over the whole time or that came, whichever is less. */
+	/** Admitted calls as a share of those that arrived, or that the limit allows over the whole time if that is fewer. */
 	readonly servedShare: number;
-	/** Messages that one process sends in a second, on the mean. */
+	/** Mean number of messages that one process sends per second. */
 	readonly messagesPerSecond: number;
-	/** Bytes that one process sends in a second for it, on the mean. */
+	/** Mean number of bytes in these messages per second and process. */
 	readonly bytesPerSecond: number;
 };
 
-/** Calls beyond the limit that operators tolerate in a window, as the most of it that the rules of a deployment allow. */
+/** Calls beyond the limit that are tolerated in a window; the maximum that the rules of a deployment allow. */
 export const modelTolerance = 20;
 
-/** In milliseconds. */
+/** Window in which admitted calls are counted, in milliseconds. */
 export const modelWindowMs = 5000;
 
 const lengthMs = 20_000;
-const tellEveryMs = 100;
-const leastTravelMs = 1;
-const mostTravelMs = 30;
-const lostShare = 0.01;
+const announceEveryMs = 100;
+const minTransitMs = 1;
+const maxTransitMs = 30;
+const lossShare = 0.01;
 
-/** A process asks the authority for what its calls need in this long, in seconds. */
-const aheadS = 0.2;
+/** A process requests credit for the calls of this long from the authority, in seconds. */
+const prefetchS = 0.2;
 
-/** A credit message: its headers, a name and two counts, in bytes. */
+/** Size of a credit message, in bytes: its headers, a name and two counts. */
 const creditBytes = 120;
 
 const account = branded<ClientAccountName>('a');
 const silentLog: EventLog = {emit: () => undefined};
 
-type Happening = {readonly at: number; readonly act: () => void};
+type ScheduledEvent = {readonly at: number; readonly act: () => void};
 
-/** What decides on calls at one process. */
+/** Decides on calls at one process. */
 type Decider = {
 	admit(now: number): boolean;
-	/** Tells the others, and returns the bytes of one message; nothing when there is nothing to tell. */
-	tell?(now: number): number;
+	/** Sends an announcement to the others and returns the size of one message in bytes; 0 if there is nothing to announce. */
+	announce?(now: number): number;
 };
 
 class Timeline {
 	now = 0;
-	readonly #happenings: Happening[] = [];
+	readonly #pending: ScheduledEvent[] = [];
 
 	at(at: number, act: () => void): void {
-		this.#happenings.push({at, act});
+		this.#pending.push({at, act});
 	}
 
-	/** Runs everything in the order of its time. Most happenings are known ahead, so they are sorted by milliseconds. */
+	/** Runs all events in the order of their times. Most events are scheduled in advance, so they are sorted into buckets of a millisecond. */
 	run(untilMs: number): void {
-		const slots: Happening[][] = Array.from({length: untilMs + 1}, () => []);
-		const place = (happenings: readonly Happening[]) => {
-			happenings.filter(({at}) => at <= untilMs).forEach(happening => {
-				slots[Math.max(Math.ceil(this.now), Math.floor(happening.at))]!.push(happening);
+		const buckets: ScheduledEvent[][] = Array.from({length: untilMs + 1}, () => []);
+		const schedule = (events: readonly ScheduledEvent[]) => {
+			events.filter(({at}) => at <= untilMs).forEach(event => {
+				buckets[Math.max(Math.ceil(this.now), Math.floor(event.at))]!.push(event);
 			});
 		};
 
 		for (let ms = 0; ms <= untilMs; ms += 1) {
 			this.now = ms;
-			place(this.#happenings.splice(0));
-			const due = slots[ms]!;
-			for (let happening = due.shift(); happening; happening = due.shift()) {
-				happening.act();
-				place(this.#happenings.splice(0));
+			schedule(this.#pending.splice(0));
+			const due = buckets[ms]!;
+			for (let event = due.shift(); event; event = due.shift()) {
+				event.act();
+				schedule(this.#pending.splice(0));
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 	readonly #clock: Clock;
 	readonly #admittedAt: number[] = [];
 	#deciders: Decider[] = [];
-	#asked = 0;
+	#arrivedCalls = 0;
 	#messages = 0;
 	#bytes = 0;
 
@@ -115,7 +115,7 @@
 	run(): RateLimitOutcome {
 		const {processes, limit, restartAt} = this.#load;
 		this.#planCalls();
-		this.#planNews();
+		this.#planAnnouncements();
 		if (restartAt !== undefined) {
 			this.#timeline.at(restartAt, () => {
 				this.#start();
@@ -125,20 +125,20 @@
 		this.#timeline.run(lengthMs);
 		const allowed = (limit.perSecond * lengthMs / 1000) + limit.burst;
 		return {
-			maxInWindow: this.#mostInWindow(),
-			servedShare: this.#admittedAt.length / Math.min(this.#asked, allowed),
+			maxInWindow: this.#maxInWindow(),
+			servedShare: this.#admittedAt.length / Math.min(this.#arrivedCalls, allowed),
 			messagesPerSecond: this.#messages / processes / (lengthMs / 1000),
 			bytesPerSecond: this.#bytes / processes / (lengthMs / 1000),
 		};
 	}
 
 	#start() {
-		const ways: Readonly<Record<SharingStrategy, () => Decider[]>> = {
-			told: () => this.#startTold(),
-			parts: () => this.#startParts(),
+		const starters: Readonly<Record<SharingStrategy, () => Decider[]>> = {
+			told: () => this.#startAnnouncing(),
+			parts: () => this.#startEqualParts(),
 			authority: () => this.#startAuthority(),
 		};
-		this.#deciders = ways[this.#load.strategy]();
+		this.#deciders = starters[this.#load.strategy]();
 	}
 
 	#planCalls() {
@@ -148,7 +148,7 @@
 			at += -Math.log(1 - random.next()) * 1000 / perSecond;
 			const process = this.#drawProcess();
 			this.#timeline.at(at, () => {
-				this.#asked += 1;
+				this.#arrivedCalls += 1;
 				if (this.#deciders[process]!.admit(this.#timeline.now)) {
 					this.#admittedAt.push(this.#timeline.now);
 				}
@@ -161,57 +161,57 @@
 		return random.next() < firstShare || processes === 1 ? 0 : 1 + Math.floor(random.next() * (processes - 1));
 	}
 
-	#planNews() {
+	#planAnnouncements() {
 		const {processes, random} = this.#load;
 		Array.from({length: processes}, (_, i) => i).forEach(process => {
-			for (let at = random.next() * tellEveryMs; at < lengthMs; at += tellEveryMs) {
+			for (let at = random.next() * announceEveryMs; at < lengthMs; at += announceEveryMs) {
 				this.#timeline.at(at, () => {
-					this.#deciders[process]!.tell?.(this.#timeline.now);
+					this.#deciders[process]!.announce?.(this.#timeline.now);
 				});
 			}
 		});
 	}
 
-	#mostInWindow(): number {
+	#maxInWindow(): number {
 		let first = 0;
-		let most = 0;
+		let max = 0;
 		this.#admittedAt.forEach((at, last) => {
 			while (this.#admittedAt[first]! <= at - modelWindowMs) {
 				first += 1;
 			}
 
-			most = Math.max(most, last - first + 1);
+			max = Math.max(max, last - first + 1);
 		});
-		return most;
+		return max;
 	}
 
-	#isCutOff(process: number): boolean {
+	#isPartitioned(process: number): boolean {
 		const {cut, processes} = this.#load;
 		const {now} = this.#timeline;
 		return cut !== undefined && process >= processes - cut.processes && now >= cut.from && now < cut.until;
 	}
 
-	/** Delivers a message, unless it is lost or on the wrong side of a cut. */
+	/** Delivers a message unless it is lost or crosses a partition. */
 	#send(from: number, to: number, bytes: number, act: () => void) {
 		const {random} = this.#load;
 		this.#messages += 1;
 		this.#bytes += bytes;
-		if (random.next() >= lostShare && this.#isCutOff(from) === this.#isCutOff(to) && !this.#isCutOff(from)) {
-			this.#timeline.at(this.#timeline.now + leastTravelMs + (random.next() * (mostTravelMs - leastTravelMs)), act);
+		if (random.next() >= lossShare && this.#isPartitioned(from) === this.#isPartitioned(to) && !this.#isPartitioned(from)) {
+			this.#timeline.at(this.#timeline.now + minTransitMs + (random.next() * (maxTransitMs - minTransitMs)), act);
 		}
 	}
 
-	#startTold(): Decider[] {
+	#startAnnouncing(): Decider[] {
 		const {processes, limit} = this.#load;
 		const names = Array.from({length: processes}, (_, i) => branded<MemberName>(`p${i}`));
 		const startedAt = this.#timeline.now;
-		const heardBy = (process: number): ReadonlySet<MemberName> => new Set(names.filter((_, i) => i !== process && !this.#isCutOff(i) && !this.#isCutOff(process)));
+		const reachablePeers = (process: number): ReadonlySet<MemberName> => new Set(names.filter((_, i) => i !== process && !this.#isPartitioned(i) && !this.#isPartitioned(process)));
 		const limits = names.map((_, process) => new RateLimits({
-			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registeredCount: () => processes, livePeers: () => heardBy(process),
+			clock: this.#clock, log: silentLog, tolerance: modelTolerance, registeredCount: () => processes, livePeers: () => reachablePeers(process),
 		}));
 		return limits.map((own, process) => ({
 			admit: () => 'credit' in own.admit({name: account, accountKeys: [], rateLimit: limit}),
-			tell: () => {
+			announce: () => {
 				const accountUsage = own.announcement();
 				if (accountUsage.length === 0) {
 					return 0;
@@ -230,7 +230,7 @@
 		}));
 	}
 
-	#startParts(): Decider[] {
+	#startEqualParts(): Decider[] {
 		const {processes, limit: {perSecond, burst}} = this.#load;
 		const limit = {perSecond: perSecond / processes, burst: burst / processes};
 		return Array.from({length: processes}, () => {
@@ -241,7 +241,7 @@
 		});
 	}
 
-	/** The first process is the authority. Credit that is not used within its time is given back by forgetting it. */
+	/** The first process is the authority. Unused credit is never returned. */
 	#startAuthority(): Decider[] {
 		const {processes, limit} = this.#load;
 		const bucket = {level: this.#timeline.now === 0 ? limit.burst : 0, filledAt: this.#timeline.now};
@@ -255,31 +255,31 @@
 		};
 
 		return Array.from({length: processes}, (_, process) => {
-			const own = {credit: 0, asked: 0, isAsking: false};
-			const ask = () => {
-				if (own.isAsking) {
+			const own = {credit: 0, recentCalls: 0, isRequesting: false};
+			const requestCredit = () => {
+				if (own.isRequesting) {
 					return;
 				}
 
-				own.isAsking = true;
-				const wanted = Math.max(1, Math.ceil(own.asked * aheadS));
-				this.#timeline.at(this.#timeline.now + tellEveryMs, () => {
-					own.isAsking = false;
+				own.isRequesting = true;
+				const wanted = Math.max(1, Math.ceil(own.recentCalls * prefetchS));
+				this.#timeline.at(this.#timeline.now + announceEveryMs, () => {
+					own.isRequesting = false;
 				});
 				this.#send(process, 0, creditBytes, () => {
 					const granted = draw(wanted);
 					this.#send(0, process, creditBytes, () => {
 						own.credit += granted;
-						own.isAsking = false;
+						own.isRequesting = false;
 					});
 				});
 			};
 
 			return {
 				admit: () => {
-					own.asked += 1;
+					own.recentCalls += 1;
 					this.#timeline.at(this.#timeline.now + 1000, () => {
-						own.asked -= 1;
+						own.recentCalls -= 1;
 					});
 					if (process === 0) {
 						return draw(1) === 1;
@@ -287,8 +287,8 @@
 
 					const isAdmitted = own.credit >= 1;
 					own.credit -= isAdmitted ? 1 : 0;
-					if (own.credit < own.asked * aheadS / 2 || !isAdmitted) {
-						ask();
+					if (own.credit < own.recentCalls * prefetchS / 2 || !isAdmitted) {
+						requestCredit();
 					}
 
 					return isAdmitted;
@@ -298,5 +298,5 @@
 	}
 }
 
-/** Plays the load. */
+/** Runs the simulation. */
 export const simulateRateLimit = (load: RateLimitLoad): RateLimitOutcome => new RateLimitModel(load).run();
--- a/src/gateway/testing/wave-model.ts
+++ b/src/gateway/testing/wave-model.ts
@@ -1,7 +1,7 @@
 /**
-Processes that send waves of online calls to shared replicas, in virtual time and without a network: each chooses by its own counts and by what the others last told, as fronts do.
+Simulates processes that send waves of online calls to shared replicas, in virtual time and without a network. Like a front, each process chooses replicas by its own counts and the last announcements of the others.
 
-The wave is that of the busiest deployments: 3.8 s at 0.38 times the mean rate, then 2.8 s at 1.84 times, when calls need nine tenths of all places and more.
+The wave is that of the busiest deployments: 3.8 s at 0.38 times the mean rate, then 2.8 s at 1.84 times, when calls need nine tenths of all slots and more.
 */
 import type {RandomSource} from '../../common/services.js';
 import {branded} from '../../common/ids.js';
@@ -9,38 +9,38 @@
 import {Replica} from '../replica.js';
 import type {GatewayServiceName, MemberName, ReplicaId} from '../types.js';
 
-/** The fleet and its load. */
+/** The simulated processes, replicas and load. */
 export type Wave = {
 	readonly processes: number;
 	readonly replicas: number;
-	/** Places of each replica. */
+	/** Slots of each replica. */
 	readonly slots: number;
-	/** Calls a second over all processes, on the mean. */
+	/** Mean number of calls per second, over all processes. */
 	readonly perSecond: number;
-	/** For how long each process gathers news before it tells them, in milliseconds. */
+	/** Interval between the announcements of a process, in milliseconds. */
 	readonly announceEveryMs: number;
 	readonly random: RandomSource;
-	/** How many sharers the choice is told of, where it is not the number of processes: 1 makes it look at all replicas. */
+	/** Number of processes that the choice assumes, if not the real one; with 1, the sample contains all replicas. */
 	readonly assumedProcessCount?: number;
-	/** Half of the replicas lose this share of their answers, right after they began; the calls go on elsewhere. */
+	/** Share of answers that half of the replicas lose right after their start; the calls are continued elsewhere. */
 	readonly lossShare?: number;
-	/** What a failure tells the choice: its share of the requests, or, as a mere count would, that all fail. */
+	/** How the choice counts failures: as a share of the requests, or by number, which is as if all requests failed. */
 	readonly lossAccounting?: 'share' | 'count';
-	/** The last so many replicas are added, empty, within the second wave. */
+	/** Number of replicas, the last ones, that are added empty during the second wave. */
 	readonly addedReplicas?: number;
 };
 
-/** What replicas that are added get in their first second. */
+/** Calls at the added replicas in their first second. */
 export type AddedReplicasOutcome = {
-	/** Calls at each, of those at each of the others; 1 is an equal part. */
+	/** Calls at each added replica relative to each of the others; 1 is an equal share. */
 	readonly callRatio: number;
-	/** The most calls at one of them at a time, queue included. */
+	/** Maximum number of calls at one of them at a time, including its queue. */
 	readonly maxCalls: number;
 };
 
 type Call = {readonly from: number; readonly arrivedAt: number; readonly isRerun: boolean};
 
-type Happening = {readonly at: number; readonly act: () => void};
+type ScheduledEvent = {readonly at: number; readonly act: () => void};
 
 const lengthMs = 26_400;
 const periodMs = 6600;
@@ -48,34 +48,34 @@
 const calmLevel = 0.377;
 const highLevel = 1.84;
 const serviceMs = 680;
-const serviceSpread = 0.4;
+const serviceTimeSpread = 0.4;
 
-/** Replicas are added then, in milliseconds: half a second into a wave, when all others are full. */
-const joinAt = periodMs + calmMs + 500;
-const joinWatchMs = 1000;
+/** Time at which replicas are added, in milliseconds: half a second into a wave, when all others are full. */
+const addedAt = periodMs + calmMs + 500;
+const addedWindowMs = 1000;
 
-/** Processes tell outcomes this often, in milliseconds, as fronts do. */
-const outcomesEveryMs = 250;
+/** Interval at which processes announce outcomes, in milliseconds, as fronts do. */
+const announceOutcomesEveryMs = 250;
 
-/** A replica that loses an answer does so at its first event, in milliseconds. */
-const lostMs = 30;
+/** Time from the start of a run to the loss of its answer, in milliseconds: at the first event. */
+const lossDelayMs = 30;
 
-/** A wait that, with the way and the prompt, takes the first event past a latency target of 300 ms. */
-const lateMs = 250;
+/** A wait that, with transit and prompt processing, delays the first event beyond a latency target of 300 ms. */
+const maxWaitMs = 250;
 
 const levelAt = (now: number): number => now % periodMs < calmMs ? calmLevel : highLevel;
 
-/** See the module's head. */
+/** The simulation. */
 export class WaveModel {
 	readonly #wave: Wave;
 	readonly #views: readonly Replica[][];
 	readonly #running: number[];
 	readonly #queues: Call[][];
-	readonly #happenings: Happening[] = [];
+	readonly #scheduled: ScheduledEvent[] = [];
 	readonly #waits: number[] = [];
-	readonly #outcomesToldAt: number[];
-	readonly #callsOfFirstSecond = {atJoined: 0, elsewhere: 0};
-	#mostAtJoined = 0;
+	readonly #outcomesAnnouncedAt: number[];
+	readonly #callsOfFirstSecond = {atAdded: 0, elsewhere: 0};
+	#maxAtAdded = 0;
 	#now = 0;
 
 	constructor(wave: Wave) {
@@ -84,37 +84,37 @@
 		this.#views = Array.from({length: processes}, () => Array.from({length: replicas}, (_, i) => new Replica({
 			id: branded<ReplicaId>(`r${i}`), service: branded<GatewayServiceName>('engines'), address: '', failureDomain: 'hall', slots, isDraining: false,
 		})));
-		this.#outcomesToldAt = Array.from({length: processes}, () => 0);
+		this.#outcomesAnnouncedAt = Array.from({length: processes}, () => 0);
 		this.#running = Array.from({length: replicas}, () => 0);
 		this.#queues = Array.from({length: replicas}, () => []);
 	}
 
-	/** Where replicas are added, only until their first second is over. @returns The share of calls that waited too long for a place. */
+	/** Runs the simulation; if replicas are added, only until their first second is over. @returns The share of calls that waited too long for a slot. */
 	run(): number {
-		const {processes, announceEveryMs: gatherMs, random, addedReplicas: joining} = this.#wave;
-		const endsAt = joining ? joinAt + joinWatchMs : lengthMs;
+		const {processes, announceEveryMs, random, addedReplicas} = this.#wave;
+		const endsAt = addedReplicas ? addedAt + addedWindowMs : lengthMs;
 		this.#views.forEach((_, process) => {
-			this.#at(random.next() * gatherMs, () => {
-				this.#tell(process);
+			this.#at(random.next() * announceEveryMs, () => {
+				this.#announce(process);
 			});
 		});
 		this.#at(0, () => {
 			this.#arrive(Math.floor(random.next() * processes));
 		});
 		while (this.#now < endsAt) {
-			const next = this.#happenings.shift()!;
+			const next = this.#scheduled.shift()!;
 			this.#now = next.at;
 			next.act();
 		}
 
-		return this.#waits.filter(wait => wait > lateMs).length / this.#waits.length;
+		return this.#waits.filter(wait => wait > maxWaitMs).length / this.#waits.length;
 	}
 
-	/** What the replicas that were added got. Call it after `run`. */
+	/** Calls at the added replicas. Valid after `run`. */
 	get joined(): AddedReplicasOutcome {
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const {atJoined, elsewhere} = this.#callsOfFirstSecond;
-		return {callRatio: (atJoined / joining) / (elsewhere / (replicas - joining)), maxCalls: this.#mostAtJoined};
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const {atAdded, elsewhere} = this.#callsOfFirstSecond;
+		return {callRatio: (atAdded / addedReplicas) / (elsewhere / (replicas - addedReplicas)), maxCalls: this.#maxAtAdded};
 	}
 
 	#arrive(process: number) {
@@ -127,53 +127,53 @@
 	}
 
 	#send(call: Call) {
-		const {processes, random, assumedProcessCount: sharersTold = processes} = this.#wave;
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const known = this.#now < joinAt ? replicas - joining : replicas;
-		const view = this.#views[call.from]!.slice(0, known);
+		const {processes, random, assumedProcessCount = processes} = this.#wave;
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const replicaCount = this.#now < addedAt ? replicas - addedReplicas : replicas;
+		const view = this.#views[call.from]!.slice(0, replicaCount);
 		const chosen = chooseForOnline(view, {
-			now: this.#now, random, tried: new Set(), failureDomain: 'hall', processCount: sharersTold, canFailOver: true,
+			now: this.#now, random, tried: new Set(), failureDomain: 'hall', processCount: assumedProcessCount, canFailOver: true,
 		})!;
 		chosen.online += 1;
 		const index = view.indexOf(chosen);
-		this.#offer(index, call);
-		this.#noteJoin(index);
+		this.#startOrQueue(index, call);
+		this.#recordAddedCall(index);
 	}
 
-	#noteJoin(replica: number) {
-		if (this.#now < joinAt || this.#now > joinAt + joinWatchMs) {
+	#recordAddedCall(replica: number) {
+		if (this.#now < addedAt || this.#now > addedAt + addedWindowMs) {
 			return;
 		}
 
-		const {replicas, addedReplicas: joining = 0} = this.#wave;
-		const isJoined = replica >= replicas - joining;
-		this.#callsOfFirstSecond[isJoined ? 'atJoined' : 'elsewhere'] += 1;
-		if (isJoined) {
-			this.#mostAtJoined = Math.max(this.#mostAtJoined, this.#running[replica]! + this.#queues[replica]!.length);
+		const {replicas, addedReplicas = 0} = this.#wave;
+		const isAdded = replica >= replicas - addedReplicas;
+		this.#callsOfFirstSecond[isAdded ? 'atAdded' : 'elsewhere'] += 1;
+		if (isAdded) {
+			this.#maxAtAdded = Math.max(this.#maxAtAdded, this.#running[replica]! + this.#queues[replica]!.length);
 		}
 	}
 
-	#offer(replica: number, call: Call) {
+	#startOrQueue(replica: number, call: Call) {
 		if (this.#running[replica]! >= this.#wave.slots) {
 			this.#queues[replica]!.push(call);
 			return;
 		}
 
 		this.#running[replica]! += 1;
-		this.#begin(replica, call);
+		this.#startRun(replica, call);
 	}
 
-	#begin(replica: number, call: Call) {
+	#startRun(replica: number, call: Call) {
 		const {from, arrivedAt, isRerun} = call;
 		const isLost = this.#losesAnswer(replica);
 		if (!isRerun) {
 			this.#waits.push(this.#now - arrivedAt);
 		}
 
-		const takesMs = serviceMs * (1 - serviceSpread + (2 * serviceSpread * this.#wave.random.next()));
-		this.#at(this.#now + (isLost ? lostMs : takesMs), () => {
+		const takesMs = serviceMs * (1 - serviceTimeSpread + (2 * serviceTimeSpread * this.#wave.random.next()));
+		this.#at(this.#now + (isLost ? lossDelayMs : takesMs), () => {
 			this.#views[from]![replica]!.online -= 1;
-			this.#noteOutcome(this.#views[from]![replica]!, isLost);
+			this.#recordOutcome(this.#views[from]![replica]!, isLost);
 			this.#running[replica]! -= 1;
 			if (isLost) {
 				this.#send({...call, isRerun: true});
@@ -181,32 +181,32 @@
 
 			const next = this.#queues[replica]!.shift();
 			if (next) {
-				this.#offer(replica, next);
+				this.#startOrQueue(replica, next);
 			}
 		});
 	}
 
 	#losesAnswer(replica: number): boolean {
-		const {lossShare: losing = 0, random, replicas} = this.#wave;
-		return losing > 0 && replica < replicas / 2 && random.next() < losing;
+		const {lossShare = 0, random, replicas} = this.#wave;
+		return lossShare > 0 && replica < replicas / 2 && random.next() < lossShare;
 	}
 
-	#noteOutcome({outcomes}: Replica, hasFailed: boolean) {
+	#recordOutcome({outcomes}: Replica, hasFailed: boolean) {
 		if (hasFailed || this.#wave.lossAccounting !== 'count') {
 			outcomes.note(hasFailed, this.#now);
 		}
 	}
 
-	#tell(process: number) {
-		const isOutcomesTold = this.#now - this.#outcomesToldAt[process]! >= outcomesEveryMs;
-		this.#outcomesToldAt[process] = isOutcomesTold ? this.#now : this.#outcomesToldAt[process]!;
+	#announce(process: number) {
+		const includesOutcomes = this.#now - this.#outcomesAnnouncedAt[process]! >= announceOutcomesEveryMs;
+		this.#outcomesAnnouncedAt[process] = includesOutcomes ? this.#now : this.#outcomesAnnouncedAt[process]!;
 		const member = branded<MemberName>(`front-${process}`);
-		const told = this.#views[process]!.map(({online, outcomes}) => ({
-			online, outcomes: isOutcomesTold && outcomes.failureShare(this.#now) > 0 ? outcomes.ownCounts(this.#now) : undefined,
+		const announced = this.#views[process]!.map(({online, outcomes}) => ({
+			online, outcomes: includesOutcomes && outcomes.failureShare(this.#now) > 0 ? outcomes.ownCounts(this.#now) : undefined,
 		}));
 		this.#views.filter((_, other) => other !== process).forEach(view => {
 			view.forEach((replica, i) => {
-				const {online, outcomes} = told[i]!;
+				const {online, outcomes} = announced[i]!;
 				replica.setPeerLoad(member, {online, batch: 0});
 				if (outcomes) {
 					replica.outcomes.receivePeerCounts(member, outcomes, this.#now);
@@ -214,13 +214,13 @@
 			});
 		});
 		this.#at(this.#now + this.#wave.announceEveryMs, () => {
-			this.#tell(process);
+			this.#announce(process);
 		});
 	}
 
-	/** Keeps what is to happen in order; the same moments in the order in which they were asked for. */
+	/** Inserts an event in the order of time; events at the same time stay in the order of insertion. */
 	#at(at: number, act: () => void) {
-		const before = this.#happenings.findLastIndex(happening => happening.at <= at);
-		this.#happenings.splice(before + 1, 0, {at, act});
+		const before = this.#scheduled.findLastIndex(event => event.at <= at);
+		this.#scheduled.splice(before + 1, 0, {at, act});
 	}
 }
