--- a/src/gateway/attempt.steps.ts
+++ b/src/gateway/attempt.steps.ts
@@ -98,7 +98,7 @@
 		dialect,
 		message: {method: 'POST', target: '/', headers: []},
 		fields: {requestId: id, replica: 'r1' as ReplicaId},
-		timeouts: {silenceMs, canGoElsewhere: true},
+		timeouts: {silenceMs, canFailOver: true},
 		isEligible: () => isEligible,
 		listener: {
 			onHead: () => undefined,
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -59,7 +59,7 @@
 	/** Milliseconds without a byte, counted from when the request was sent. */
 	readonly silenceMs: number;
 	/** Whether the call can continue at another replica, so that nothing is gained by waiting for one that cannot be reached. Any other call waits: its replica's answer may still arrive. */
-	readonly canGoElsewhere: boolean;
+	readonly canFailOver: boolean;
 };
 
 /** The part of a replica's connection that an attempt uses. */
@@ -197,8 +197,8 @@
 			return;
 		}
 
-		const {timeouts: {silenceMs, canGoElsewhere}, reachability: {probeAfterMs}} = this.#parts;
-		const stepMs = canGoElsewhere ? Math.min(probeAfterMs, silenceMs) : silenceMs;
+		const {timeouts: {silenceMs, canFailOver}, reachability: {probeAfterMs}} = this.#parts;
+		const stepMs = canFailOver ? Math.min(probeAfterMs, silenceMs) : silenceMs;
 		this.#inactivityTimer = setTimeout(() => {
 			this.#inactiveMs += stepMs;
 			// Data that arrived during a pause of this process is handled first.
--- a/src/gateway/batch/item-run.ts
+++ b/src/gateway/batch/item-run.ts
@@ -42,7 +42,7 @@
 };
 
 /** An engine may be full of online calls for a second or two; a run that receives no byte for longer than `silenceMs` has lost its replica or its connection. */
-const timeouts: AttemptTimeouts = {silenceMs: 2500, canGoElsewhere: true};
+const timeouts: AttemptTimeouts = {silenceMs: 2500, canFailOver: true};
 
 const lineEnd = /\r\n?/gv;
 
--- a/src/gateway/online-call.ts
+++ b/src/gateway/online-call.ts
@@ -268,7 +268,7 @@
 				lastEventId: this.#resumeAfter,
 				caller: this.#call.caller.identity,
 			},
-			timeouts: {silenceMs: this.#isRepeatable ? repeatableSilenceTimeoutMs : this.#timeLimitMs, canGoElsewhere: this.#isRepeatable},
+			timeouts: {silenceMs: this.#isRepeatable ? repeatableSilenceTimeoutMs : this.#timeLimitMs, canFailOver: this.#isRepeatable},
 			isEligible: () => isEligible(this.#parts, replica),
 			listener: {
 				onHead: head => {
