--- a/src/io/address.ts
+++ b/src/io/address.ts
@@ -1,9 +1,9 @@
 /**
-Addresses as they stand in settings: `ip:port`, with brackets around an IPv6 number. Names are refused, since the processes reach each other by IP numbers alone and a lookup may hang.
+Parses and formats addresses as used in settings: `ip:port`, with brackets around an IPv6 address. Host names are rejected, since processes connect to each other by IP address only and a name lookup may hang.
 */
 import {isIPv4, isIPv6} from 'node:net';
 
-/** An IP number without brackets, and a port. */
+/** An IP address without brackets, and a port. */
 export type Address = {
 	readonly host: string;
 	readonly port: number;
@@ -14,7 +14,7 @@
 
 /**
 @param text - `ip:port` or `[ip]:port`.
-@returns The parts, or `undefined` when the text is no such address. Port 0 is let through: a listener takes any free port for it.
+@returns The host and port, or `undefined` when the text is not a valid address. Port 0 is valid: a listener binds any free port for it.
 */
 export const parseAddress = (text: string): Address | undefined => {
 	const {v6, v4, port = ''} = pattern.exec(text)?.groups ?? {};
@@ -23,7 +23,6 @@
 };
 
 /**
-@param address - The parts.
-@returns `ip:port`, with brackets around an IPv6 number.
+@returns `ip:port`, with brackets around an IPv6 address.
 */
 export const formatAddress = ({host, port}: Address): string => isIPv6(host) ? `[${host}]:${port}` : `${host}:${port}`;
--- a/src/io/datagram-channel.ts
+++ b/src/io/datagram-channel.ts
@@ -1,5 +1,5 @@
 /**
-JSON-RPC 2.0 notifications between own processes, one a datagram. A datagram needs no connection, so none can go silent, and one that is lost is made good by the next: fit for state that is sent again and again, and for nothing else.
+Exchanges JSON-RPC 2.0 notifications between processes of the fleet over UDP, one per datagram. There is no connection that could become unresponsive, and a lost datagram is superseded by the next one. It is therefore suitable only for state that is sent repeatedly.
 */
 import {Buffer} from 'node:buffer';
 import {createSocket, type Socket} from 'node:dgram';
@@ -11,10 +11,10 @@
 import {exitCodes} from './exit-codes.js';
 import type {StartError} from './program.js';
 
-/** Takes one notification's parameters, after their test. */
+/** Handles the parameters of a notification after their validation. */
 export type NotificationHandler = (params: never) => void;
 
-/** A larger datagram would be cut by the network layer, and one lost piece loses all of it; the largest that UDP carries. */
+/** Close to the largest payload that UDP carries. The network layer fragments large datagrams, and one lost fragment loses the complete datagram. */
 const maxDatagramBytes = 65_000;
 
 const parsed = (bytes: Buffer): unknown => {
@@ -32,7 +32,7 @@
 	#address = '';
 	#refused = 0;
 
-	/** @param handlers - By method. */
+	/** @param handlers - Handlers by method name. */
 	constructor(handlers: Readonly<Record<string, NotificationHandler>>) {
 		this.#handlers = handlers;
 		this.#socket.on('message', bytes => {
@@ -40,17 +40,17 @@
 		});
 	}
 
-	/** `ip:port` that it listens on. */
+	/** The bound address as `ip:port`; empty before `listen`. */
 	get address(): string {
 		return this.#address;
 	}
 
-	/** Datagrams that were no notification of a known method. */
+	/** Number of datagrams rejected: received ones that are not a valid notification of a known method, and outgoing ones above the size limit. */
 	get refused(): number {
 		return this.#refused;
 	}
 
-	/** @param address - `ip:port`; port 0 takes any free port. */
+	/** @param address - `ip:port`; port 0 selects any free port. */
 	async listen(address: string): Promise<Either<StartError, string>> {
 		const {host, port} = parseAddress(address) ?? {host: '', port: 0};
 		return new Promise(resolve => {
@@ -58,7 +58,7 @@
 				resolve(Left({exitCode: exitCodes.unavailable, message: `can not listen on ${address}: ${err.message}`}));
 			});
 			this.#socket.bind({address: host, port}, () => {
-				// From here on an error concerns one datagram: its receiver is gone, which the silence tells.
+				// Once bound, an error concerns a single datagram whose receiver is unreachable; the receiver is detected by its missing notifications.
 				this.#socket.removeAllListeners('error');
 				this.#socket.on('error', () => undefined);
 				this.#address = formatAddress({host, port: this.#socket.address().port});
@@ -67,7 +67,7 @@
 		});
 	}
 
-	/** Sends to each address; whether it arrives is not known. */
+	/** Sends a notification to each address, without confirmation of delivery. */
 	send(addresses: readonly string[], method: string, params: Readonly<Record<string, unknown>>): void {
 		if (addresses.length === 0) {
 			return;
--- a/src/io/dial.ts
+++ b/src/io/dial.ts
@@ -1,5 +1,5 @@
 /**
-Whether a TCP connection to an address can be made: the cheapest question that shows a process or a network that is gone.
+Checks whether a TCP connection to an address can be established: the cheapest probe that detects a terminated process or an unreachable network.
 */
 import {connect} from 'node:net';
 import {parseAddress, type Address} from './address.js';
@@ -13,7 +13,7 @@
 	};
 
 	const timer = setTimeout(() => {
-		// After a pause of this process the connection may long have been made, and only not been looked at: timers come before sockets. The next turn of the event loop has looked.
+		// After a pause of this process the connection may already be established without its event having been processed, since timers run before sockets. By the next turn of the event loop it has been processed.
 		setImmediate(finish, false);
 	}, limitMs);
 	socket.once('connect', () => {
@@ -25,11 +25,11 @@
 });
 
 /**
-Makes a connection and closes it at once.
+Opens a connection and closes it immediately.
 
 @param address - `ip:port`.
-@param limitMs - Milliseconds that it may take.
-@returns Whether it was made in time. Never rejects.
+@param limitMs - Connect timeout in milliseconds.
+@returns Whether the connection was established in time; `false` for a malformed address. Never rejects.
 */
 export const dial = async (address: string, limitMs: number): Promise<boolean> => {
 	const target = parseAddress(address);
--- a/src/io/dogstatsd-metrics.ts
+++ b/src/io/dogstatsd-metrics.ts
@@ -1,26 +1,26 @@
 /**
-Metrics by DogStatsD over UDP: a collector that is slow or away costs a lost packet, never a request.
+Sends metrics to a DogStatsD collector over UDP. A slow or unreachable collector causes lost packets, but never affects a request.
 */
 import {StatsD} from 'hot-shots';
 import type {Disposable, Metrics} from '../common/services.js';
 import {type Address} from './address.js';
 
-/** Where metrics go and how they are marked. */
+/** Destination, prefix and common tags of the metrics. */
 export type MetricsOptions = {
 	readonly address: Address;
-	/** Stands before each name. */
+	/** Prepended to each metric name. */
 	readonly prefix: string;
-	/** Put on every metric. */
+	/** Tags added to every metric. */
 	readonly tags: Readonly<Record<string, string>>;
 };
 
 type Tags = Readonly<Record<string, string>>;
 
-/** Metrics wait at most this long and fill at most one packet, so that a busy process sends few packets. */
+/** Metrics are buffered for at most this time and up to the size of one packet, so that a busy process sends few packets. */
 const flushIntervalMs = 1000;
 const packetBytes = 1400;
 
-/** {@link Metrics} by hot-shots. */
+/** {@link Metrics} that are sent by the hot-shots client. */
 export class DogstatsdMetrics implements Metrics, Disposable {
 	readonly #client: StatsD;
 	#disposed = false;
@@ -34,9 +34,9 @@
 			protocol: 'udp',
 			maxBufferSize: packetBytes,
 			bufferFlushInterval: flushIntervalMs,
-			// A metric that cannot be sent is lost; without a handler the socket's error would stop the process.
+			// Without a handler, a socket error would stop the process. A metric that cannot be sent is lost.
 			errorHandler() {
-				// Nothing depends on a metric.
+				// Metrics are best effort.
 			},
 		});
 	}
@@ -53,12 +53,12 @@
 		this.#client.timing(name, ms, {...tags});
 	}
 
-	/** Sends what waits and closes the socket. */
+	/** Flushes buffered metrics and closes the socket. */
 	dispose(): void {
 		if (!this.#disposed) {
 			this.#disposed = true;
 			this.#client.close(() => {
-				// A packet that is lost at the end changes nothing.
+				// Losing the last packet is acceptable.
 			});
 		}
 	}
--- a/src/io/exit-codes.ts
+++ b/src/io/exit-codes.ts
@@ -1,24 +1,24 @@
 /**
-The exit codes of all programs, after the BSD list in sysexits(3), so that a supervisor can tell a fault of the settings, which a restart does not mend, from one that passes.
+Exit codes of all programs, following BSD sysexits(3), so that a supervisor can distinguish a settings error, which a restart does not fix, from a transient failure.
 */
 
-/** What a program's exit status means. */
+/** Exit codes by meaning. */
 export const exitCodes = {
-	/** All was done; for a daemon: a planned stop without a request cut off. */
+	/** Success; for a daemon, a planned stop that interrupted no request. */
 	ok: 0,
-	/** The command line was wrong: an unknown command or option, or too few arguments. */
+	/** Invalid command line: an unknown command or option, or too few arguments. */
 	usage: 64,
-	/** A file that was named does not exist or cannot be read. */
+	/** A specified file does not exist or cannot be read. */
 	fileMissing: 66,
-	/** What was asked for does not exist. */
+	/** The requested resource does not exist. */
 	notFound: 67,
-	/** A service of the platform, or the entry, does not answer. */
+	/** A platform service, or the entry, does not respond, or an address cannot be bound. */
 	unavailable: 69,
-	/** A broken invariant: a fault of the program itself. */
+	/** A violated invariant: an internal error of the program. */
 	brokenInvariant: 70,
-	/** Somebody else changed the same thing, or the outcome is not known yet: look, and try again. */
+	/** A concurrent change caused a conflict, or the outcome is unknown: check the state and retry. */
 	tryAgain: 75,
-	/** The settings or a resource file are wrong. */
+	/** The settings or a resource file are invalid. */
 	settings: 78,
 } as const;
 
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -1,7 +1,7 @@
 /**
-HTTP towards other processes, on undici. What distinguishes it is how it names failures: `notSent` is said only when no byte of the request can have reached the other end, so that the caller may claim "not run"; everything else is `lost` or `silent`, after which only the other end knows.
+HTTP client for requests to other processes, based on undici. Failures are classified by their effect: `notSent` is returned only when no byte of the request can have reached the server, so that the caller may report "not run". After every other failure, such as `lost` or `silent`, the request may have been processed.
 
-A pause of this process is not the other end's silence: see {@link TimeLimit}.
+A pause of this process does not count as an unresponsive server: see {@link TimeLimit}.
 */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Readable} from 'node:stream';
@@ -14,9 +14,9 @@
 import {TimeLimit} from './time-limit.js';
 import {WatchedClient} from './watched-client.js';
 
-/** Why no response came. */
+/** Why there is no response. */
 export type HttpFailure = {
-	/** `notSent`: no connection was made. `silent`: nothing came within the time. `lost`: the connection ended. `aborted`: the caller's signal. */
+	/** `notSent`: no byte of the request was sent. `silent`: no response within the time limit. `lost`: the connection was closed. `aborted`: aborted by the caller. */
 	readonly kind: 'notSent' | 'silent' | 'lost' | 'aborted';
 	readonly reason: string;
 };
@@ -30,35 +30,35 @@
 	readonly path: string;
 	readonly headers?: Record<string, string | string[]>;
 	readonly body?: string | Uint8Array | Readable;
-	/** Milliseconds until the response's head must have come. */
+	/** Time limit in milliseconds for the head of the response. */
 	readonly timeoutMs: number;
-	/** Milliseconds until the whole response must have come; without it, its body may take any time. */
+	/** Time limit in milliseconds for the complete response; when absent, the body is not limited. */
 	readonly wholeMs?: number;
-	/** Ends the request and its answer: at once, or, where it is a time limit, when what has come until then is read. */
+	/** Aborts the request and its response: immediately, or, for `AbortSignal.timeout`, after the data received until then has been read. */
 	readonly signal?: AbortSignal;
-	/** True opens a connection of its own, used once: for asking again after a connection went silent. */
+	/** Opens a new connection for this request only, for a retry after a connection became unresponsive. */
 	readonly fresh?: boolean;
 };
 
-/** A response whose body is still to be read. */
+/** A response whose body has not been read yet. */
 export type HttpResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Dispatcher.ResponseData['body'];
-	/** Ends the response at once and closes its connection. */
+	/** Aborts the response immediately and closes its connection. */
 	abort(): void;
 };
 
 const connectTimeoutMs = 1000;
 const keepAliveMs = 15_000;
 
-// Undici made no connection, or refused the request itself, for instance for a header that it does not take.
+// Undici could not connect, or rejected the request itself, for instance because of an unsupported header.
 const notSentCodes = new Set(['UND_ERR_CONNECT_TIMEOUT', 'UND_ERR_INVALID_ARG', 'UND_ERR_NOT_SUPPORTED']);
 
-// The operating system's errors count only when it was connecting: a router's "host unreachable" can also end a connection that has carried the request, which would then pass for not run.
+// Errors of the operating system count only for these system calls: a "host unreachable" from a router can also close a connection on which the request was sent, and the request would then be reported as not run.
 const connectCalls = new Set(['connect', 'bind']);
 
-/** Whether an error excludes that any byte of the request was sent. */
+/** Whether an error proves that no byte of the request was sent. */
 export const isBeforeSending = (err: unknown): boolean => {
 	const {code, syscall} = err as {code?: string; syscall?: string};
 	return notSentCodes.has(code ?? '') || connectCalls.has(syscall ?? '');
@@ -67,13 +67,13 @@
 const dispatcherOptions = {
 	connect: {timeout: connectTimeoutMs, allowHalfOpen: true},
 	keepAliveTimeout: keepAliveMs,
-	// Both are watched by our own timers: undici's tick once a second, and a stream may pause for longer than any body timeout.
+	// Both limits are enforced by own timers: those of undici have a resolution of one second, and a stream may pause for longer than any body timeout.
 	headersTimeout: 0,
 	bodyTimeout: 0,
 	pipelining: 1,
 };
 
-/** Whether the signal is `AbortSignal.timeout`, and its time is over. */
+/** Whether the signal is an `AbortSignal.timeout` that has expired. */
 const isTimeLimit = (signal: AbortSignal | undefined): boolean => (signal?.reason as Error | undefined)?.name === 'TimeoutError';
 
 const poolOptions = {
@@ -83,7 +83,7 @@
 
 const codeOf = (err: unknown) => (err as {code?: string}).code ?? '';
 
-/** Sends requests over kept connections. */
+/** Sends requests over pooled keep-alive connections. */
 export class HttpClient implements Disposable {
 	readonly #pools = new Map<string, Agent>();
 	#disposed = false;
@@ -91,7 +91,7 @@
 	/**
 	Sends a request and waits for the head of the response.
 
-	@returns The response, or why there is none. Never rejects.
+	@returns The response, or the failure. Never rejects.
 	*/
 	async send(req: HttpRequest): Promise<Either<HttpFailure, HttpResponse>> {
 		if (this.#disposed) {
@@ -153,9 +153,9 @@
 	}
 
 	/**
-	Forgets the kept connections to an address. Requests under way on them go on.
+	Discards the connection pool of an address, so that new requests use new connections. Requests in progress on the old ones continue.
 
-	A connection that something between the ends has lost track of stays silent for good, and its neighbours in the pool are likely to be silent too; new requests must not wait on them.
+	A connection whose state a network device has lost stays unresponsive permanently, and other connections of the pool are probably affected too; new requests must not wait on them.
 	*/
 	renew(address: string): void {
 		const pool = this.#pools.get(address);
@@ -163,7 +163,7 @@
 		void pool?.close().catch(() => undefined);
 	}
 
-	/** Ends all connections. Whoever still sends afterwards reaches nobody: the address may belong to something else by then. */
+	/** Closes all connections. Later requests fail as `notSent`, since their address may belong to another process by then. */
 	dispose(): void {
 		this.#disposed = true;
 		for (const pool of this.#pools.values()) {
@@ -185,7 +185,7 @@
 	}
 
 	#followBody(body: Readable, onClose: () => void) {
-		// Without a listener, an aborted body would be an unhandled error and stop the process.
+		// Without a listener, an aborted body would raise an unhandled error and stop the process.
 		body.on('error', () => undefined);
 		body.once('close', onClose);
 	}
--- a/src/io/http-object-api.ts
+++ b/src/io/http-object-api.ts
@@ -1,5 +1,5 @@
 /**
-The object API over HTTP: ETag, If-Match and If-None-Match for conditional changes, long polls for watches.
+Client of the object API over HTTP. Conditional changes use ETag, If-Match and If-None-Match; watches use long polling.
 */
 import {Buffer} from 'node:buffer';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -13,12 +13,12 @@
 	failureOf, ObjectApiCalls, type ObjectApiAnswer, type ObjectApiCall, type ObjectApiOptions,
 } from './object-api-calls.js';
 
-/** The largest value the object API holds, in bytes. */
+/** Maximum size of a value in bytes. */
 export const maxValueBytes = 1_048_576;
 
 const parsed = (text: string): unknown => text === '' ? {} : JSON.parse(text);
 
-// Every answer of the object API bears a version. After a VM was replaced, its address may answer with anything; such an answer must not pass for a list without items.
+// Every response of the object API contains a version. After a VM was replaced, an unrelated server may respond at its address; such a response must not be taken for an empty list.
 const isAnswer = (answer: unknown): boolean => typeof (answer as {version?: unknown} | null)?.version === 'number';
 
 const withList = <T>(answer: T, list: keyof T): Either<ApiError, T> => Array.isArray(answer[list])
@@ -111,7 +111,7 @@
 		}
 
 		const toError = errorsByStatus[status];
-		// A status that the contract does not name, a 500 or 502 for instance, says nothing of whether a change took effect.
+		// A status that the API contract does not define, such as 500 or 502, leaves open whether a change took effect.
 		return Left(toError ? toError(text) : failureOf(call, {kind: 'lost', reason: `status ${status}`}));
 	}
 }
--- a/src/io/http-server.ts
+++ b/src/io/http-server.ts
@@ -1,5 +1,5 @@
 /**
-An HTTP server on `node:http` with a table of routes and a stop that lets responses under way finish.
+An HTTP server based on `node:http` with a routing table. Its shutdown lets responses in progress finish.
 */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -11,14 +11,14 @@
 import {exitCodes} from './exit-codes.js';
 import type {StartError} from './program.js';
 
-/** What a handler receives besides the request. */
+/** Result of matching a request against a route. */
 export type RouteMatch = {
 	readonly url: URL;
-	/** The groups of the route's pattern. */
+	/** Named groups of the pattern of the route. */
 	readonly params: Readonly<Record<string, string>>;
 };
 
-/** A row of the table of routes. The first row that fits is used. */
+/** An entry of the routing table. The first matching entry handles a request. */
 export type Route = {
 	/** An HTTP method, or `*` for all. */
 	readonly method: string;
@@ -26,7 +26,7 @@
 	readonly handle: (req: IncomingMessage, res: ServerResponse, match: RouteMatch) => Promise<void> | void;
 };
 
-/** What answers when no route fits, and when a handler breaks an invariant. */
+/** Handlers for requests without a matching route, and for errors thrown by a route handler. */
 export type Fallbacks = {
 	readonly notFound: (req: IncomingMessage, res: ServerResponse) => void;
 	readonly wrongMethod: (req: IncomingMessage, res: ServerResponse, allowed: readonly string[]) => void;
@@ -36,13 +36,13 @@
 /** Why a server could not start. */
 export type ListenFailure = StartError & {readonly kind: 'listenFailed'};
 
-// Longer than any client of ours keeps an idle connection, so that the client closes first and no request meets a closing connection.
+// Longer than the keep-alive timeout of the clients of the fleet, so that the client closes an idle connection first and no request is sent on a connection that is being closed.
 const keepAliveTimeoutMs = 60_000;
 
-// The longest that a request with its body may take to arrive; without a bound, callers that never finish would be kept for ever.
+// Time limit for receiving a request with its body; without it, requests that are never completed would be held forever.
 const requestTimeoutMs = 600_000;
 
-/** Serves a table of routes. */
+/** Serves a routing table. */
 export class HttpServer implements Disposable {
 	readonly #server: Server;
 	readonly #routes: readonly Route[];
@@ -60,17 +60,17 @@
 		this.#server.requestTimeout = requestTimeoutMs;
 	}
 
-	/** The port that was bound; 0 before `listen`. */
+	/** The bound port; 0 before `listen`. */
 	get port(): number {
 		return (this.#server.address() as AddressInfo | undefined)?.port ?? 0;
 	}
 
-	/** `ip:port` that it listens on. */
+	/** The bound address as `ip:port`. */
 	get address(): string {
 		return `${this.#host}:${this.port}`;
 	}
 
-	/** @param address - `ip:port`; port 0 takes any free port. */
+	/** @param address - `ip:port`; port 0 selects any free port. */
 	async listen(address: string): Promise<Either<ListenFailure, number>> {
 		const {host, port} = parseAddress(address) ?? {host: '', port: 0};
 		this.#host = host.includes(':') ? `[${host}]` : host;
@@ -84,12 +84,12 @@
 		});
 	}
 
-	/** From now on each response asks its client to close the connection, so that a balancer moves on without a request being cut. */
+	/** Adds `connection: close` to all further responses, so that load balancers move to other servers without an interrupted request. */
 	announceClose(): void {
 		this.#draining = true;
 	}
 
-	/** Stops accepting connections; resolves when the last response has ended. */
+	/** Stops accepting connections and resolves when the last response has ended. */
 	async close(): Promise<void> {
 		this.announceClose();
 		const closed = new Promise<void>(resolve => {
--- a/src/io/http-vm-list.ts
+++ b/src/io/http-vm-list.ts
@@ -1,5 +1,5 @@
 /**
-The platform's VM list over HTTP.
+Reads the VM list of the platform over HTTP.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import {
@@ -21,7 +21,7 @@
 
 	/**
 	@param address - `ip:port` of the VM list.
-	@param timeoutMs - Milliseconds for one call.
+	@param timeoutMs - Time limit in milliseconds for the head of one response; the complete response may take twice as long.
 	*/
 	constructor(client: HttpClient, address: string, timeoutMs: number) {
 		this.#client = client;
@@ -44,7 +44,7 @@
 	async #parse(res: HttpResponse): Promise<Either<ApiError, readonly VmEntry[]>> {
 		try {
 			const body = await res.body.json() as {vms?: VmEntry[]} | undefined;
-			// A list with a malformed row is not taken at all: without the row, its VM would count as leaving and lose its work. The list before stands.
+			// A list with a malformed row is rejected completely, and the previous list remains in use: if only the row were dropped, its VM would count as leaving and lose its work.
 			return res.status === 200 && areVms(body?.vms)
 				? Right(body!.vms!)
 				: Left({kind: 'unavailable', reason: `status ${res.status}, or a malformed list`});
--- a/src/io/jsonc-document.ts
+++ b/src/io/jsonc-document.ts
@@ -1,5 +1,5 @@
 /**
-A file of JSON with comments that remembers where each value stands, so that a problem which a schema finds can be told with its line and column. Comments and trailing commas are allowed.
+A parsed JSON file that retains the position of each value, so that schema problems can be reported with line and column. Comments and trailing commas are allowed.
 */
 import {readFileSync} from 'node:fs';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -10,7 +10,7 @@
 import {plainMessages, type PlainIssue} from './schema-messages.js';
 import {wholeFile, type SettingsError, type SettingsProblem} from './settings-error.js';
 
-/** Reasons for which a file could not be read, in words. */
+/** Messages for read errors by error code. */
 const readErrors: Readonly<Record<string, string>> = {
 	ENOENT: 'there is no such file',
 	EACCES: 'may not be read',
@@ -31,13 +31,13 @@
 	UnexpectedEndOfString: 'a string is not closed',
 };
 
-/** A parsed file. It has a root node: an empty file is a syntax error. */
+/** A parsed file. It always has a root node, since an empty file is a syntax error. */
 export class JsoncDocument {
 	/**
 	Reads and parses a file.
 
-	@param file - Its path.
-	@returns The document, or why it could not be read or parsed. All syntax errors are told, and keys that stand twice.
+	@param file - Path of the file.
+	@returns The document, or why it could not be read or parsed, with all syntax errors or all duplicate keys.
 	*/
 	static read(file: string): Either<SettingsError, JsoncDocument> {
 		try {
@@ -49,9 +49,9 @@
 	}
 
 	/**
-	@param text - The file's text.
-	@param file - The name to tell problems under.
-	@returns The document, or all syntax errors and keys that stand twice.
+	@param text - Content of the file.
+	@param file - File name for problem reports.
+	@returns The document, or all syntax errors, or, without any, all duplicate keys.
 	*/
 	static parse(text: string, file: string): Either<SettingsError, JsoncDocument> {
 		const source = {file, text};
@@ -77,17 +77,17 @@
 		this.#root = root;
 	}
 
-	/** The plain value of the whole file. */
+	/** The value of the entire file. */
 	get value(): unknown {
 		return getNodeValue(this.#root) as unknown;
 	}
 
 	/**
-	Checks a part of the file against a schema.
+	Validates a part of the file against a schema.
 
-	@param schema - What the part must be.
-	@param path - Where the part stands; the whole file by default.
-	@returns The checked value with its defaults, or all problems, in the order of their lines.
+	@param schema - Schema of the part.
+	@param path - Path of the part; the entire file by default.
+	@returns The validated value with defaults applied, or all problems in the order of their position.
 	*/
 	check<T>(schema: ZodType<T>, path: JSONPath = []): Either<SettingsError, T> {
 		const node = findNodeAtLocation(this.#root, path);
@@ -104,8 +104,8 @@
 	}
 
 	/**
-	@param path - Where the problem is; the nearest place that exists is told.
-	@param message - What is wrong.
+	@param path - Path of the problem; if it does not exist, the position of its nearest existing ancestor is reported.
+	@param message - Human-readable description.
 	@returns A problem of this file.
 	*/
 	problemAtPath(path: JSONPath, message: string): SettingsProblem {
@@ -125,7 +125,7 @@
 		return problemAt(this.#source, this.#offset(whole), key, message);
 	}
 
-	/** A missing key has no place of its own: its object's is told. A present key is told where the key begins. */
+	/** Returns the offset of an existing key, or, for a missing key, the offset of its nearest existing ancestor. */
 	#offset(path: JSONPath): number {
 		const node = findNodeAtLocation(this.#root, path);
 		if (node) {
@@ -140,7 +140,7 @@
 	? wholeFile
 	: path.map((part, i) => typeof part === 'number' ? `[${part}]` : `${i === 0 ? '' : '.'}${part}`).join('');
 
-/** A file's name and its text. */
+/** Name and content of a file. */
 type Source = {readonly file: string; readonly text: string};
 
 const problemAt = ({file, text}: Source, offset: number, key: string, message: string): SettingsProblem => {
@@ -150,7 +150,7 @@
 	};
 };
 
-/** JSON parsers keep the last of two equal keys without a word, so the operator's first value would be lost. */
+/** Finds duplicate keys. JSON parsers silently retain the last of two equal keys, so the first value of the operator would be lost. */
 const repeatedKeys = (node: Node): ReadonlyArray<{offset: number; key: string}> => {
 	const children = node.children ?? [];
 	const keys = node.type === 'object' ? children.map(property => String(property.children?.[0]?.value)) : [];
--- a/src/io/jsonl-trace.ts
+++ b/src/io/jsonl-trace.ts
@@ -1,5 +1,5 @@
 /**
-Writes a trace of decisions to a file, one JSON object a line, for `replay` in another process or another day. Lines are gathered and written a piece at a time; the file is for a person who looks for the cause of something, and is left out in ordinary service.
+Writes a trace of decisions to a file, one JSON object per line, for a later `replay`. Lines are buffered and written in batches. The trace serves to diagnose problems and is disabled in normal operation.
 */
 import {Left, Right, type Either} from 'purify-ts/Either';
 import pino from 'pino';
@@ -8,18 +8,18 @@
 import {exitCodes} from './exit-codes.js';
 import type {StartError} from './program.js';
 
-/** Bytes that are gathered before they are written. */
+/** Number of bytes buffered before a write. */
 const gatheredBytes = 65_536;
 
-// JSON has no infinities; a replica that was never heard was heard at minus infinity.
+// JSON has no infinities; minus infinity is the last-seen time of a replica from which no message has been received.
 const plain = (_key: string, value: unknown) => value === Number.NEGATIVE_INFINITY ? null : value;
 
-/** A decision as a line of a trace, without its line break. */
+/** Serialises a decision as a line of a trace, without the line break. */
 export const traceLine = (decision: DecisionRecord): string => JSON.stringify(decision, plain);
 
-/** A trace in a file. */
+/** A decision trace in a file. */
 export class JsonlTrace implements DecisionTrace, Disposable {
-	/** Opens a file for appending; fails when it can not be written. */
+	/** Opens a file for appending; returns an error when it cannot be written. */
 	static open(file: string): Either<StartError, JsonlTrace> {
 		try {
 			return Right(new JsonlTrace(pino.destination({
@@ -43,7 +43,7 @@
 		}
 	}
 
-	/** Writes out what was gathered. */
+	/** Flushes the buffer and closes the file. */
 	dispose(): void {
 		if (this.#isOpen) {
 			this.#isOpen = false;
--- a/src/io/log-events.ts
+++ b/src/io/log-events.ts
@@ -1,9 +1,9 @@
 /**
-Events of the frame that all programs share. Numbers 100 to 109.
+Log events of the program frame, which all daemons share. Numbers 100 to 109 are reserved for them.
 */
 import {type EventDefinition} from '../common/types.js';
 
-/** The catalogue of the program frame. */
+/** Log events of the program frame. */
 export const platformEvents = {
 	/** Fields: version, pid, addresses. */
 	programStarted: {number: 100, level: 'info', text: 'program started'},
@@ -14,13 +14,13 @@
 	/** Fields: reason. */
 	startFailed: {number: 103, level: 'error', text: 'program could not start'},
 	/** Fields: reason, stack. */
-	invariantBroken: {number: 104, level: 'error', text: 'broken invariant, the process stops'},
-	/** Fields: signal. A second signal came while the shutdown was under way. */
+	invariantBroken: {number: 104, level: 'error', text: 'invariant violated; stopping the process'},
+	/** Fields: signal. A second signal was received during the graceful shutdown. */
 	shutdownCutShort: {number: 105, level: 'warn', text: 'graceful shutdown cut short by a second signal'},
 	/** Fields: cause, path. */
-	settingsReloaded: {number: 106, level: 'info', text: 'settings read again'},
+	settingsReloaded: {number: 106, level: 'info', text: 'settings reloaded'},
 	/** Fields: cause, path, problems. */
-	settingsRefused: {number: 107, level: 'error', text: 'changed settings are wrong, those before stay in force'},
-	/** Fields: lines (since the last such event), sinceStart. */
-	linesDropped: {number: 108, level: 'warn', text: 'log lines were dropped, since nobody read them in time'},
+	settingsRefused: {number: 107, level: 'error', text: 'changed settings rejected; the previous settings remain in force'},
+	/** Fields: lines (dropped since the last such event), sinceStart. */
+	linesDropped: {number: 108, level: 'warn', text: 'log lines dropped because the reader of the log is too slow'},
 } as const satisfies Record<string, EventDefinition>;
--- a/src/io/no-metrics.ts
+++ b/src/io/no-metrics.ts
@@ -1,19 +1,19 @@
 /**
-Metrics that go nowhere, for a process whose settings name no collector.
+Metrics implementation for a process whose settings configure no collector.
 */
 import {type Metrics} from '../common/services.js';
 
-/** {@link Metrics} that keeps and sends nothing. */
+/** {@link Metrics} that discards all values. */
 export class NoMetrics implements Metrics {
 	count(): void {
-		// Nothing is kept.
+		// Discarded.
 	}
 
 	gauge(): void {
-		// Nothing is kept.
+		// Discarded.
 	}
 
 	timing(): void {
-		// Nothing is kept.
+		// Discarded.
 	}
 }
--- a/src/io/object-api-calls.ts
+++ b/src/io/object-api-calls.ts
@@ -1,46 +1,46 @@
 /**
-Single calls of an object API over HTTP, whatever its paths and fields: one place that decides what a missing answer means. A read that failed is `unavailable`; a change whose answer did not come may have taken effect, and only a connection that was never made excludes it.
+Makes single calls to an object API over HTTP, independently of its paths and fields, and classifies failed calls. A failed read is `unavailable`. A change without a response is `unknown`, since it may have taken effect, unless the request was never sent.
 */
 import {Left, type Either} from 'purify-ts/Either';
 import type {ApiError} from '../common/types.js';
 import type {HttpClient, HttpFailure} from './http-client.js';
 
-/** Where the object API is and how long to wait for it. */
+/** Address and time limit of the object API. */
 export type ObjectApiOptions = {
 	/** `ip:port`. */
 	readonly address: string;
-	/** Milliseconds for one call; a watch may take its own waiting time on top. */
+	/** Time limit in milliseconds for the head of a response; the wait time of a watch is added. */
 	readonly timeoutMs: number;
 };
 
-/** One call. */
+/** A call of the object API. */
 export type ObjectApiCall = {
 	readonly method: string;
 	/** Path and query. */
 	readonly path: string;
 	readonly headers?: Record<string, string>;
 	readonly body?: string;
-	/** Milliseconds that the other end may hold the call on purpose. */
+	/** Milliseconds for which the server may hold a long poll. */
 	readonly waitMs?: number;
-	/** Whether it may change anything. */
+	/** Whether the call may modify an object. */
 	readonly isChange: boolean;
-	/** True takes a connection of its own. */
+	/** Opens a new connection for this call only. */
 	readonly isFresh?: boolean;
 };
 
-/** A whole answer, or none that could be read. */
+/** A complete response. */
 export type ObjectApiAnswer = {readonly status: number; readonly text: string};
 
 /**
-Whether an error of the call's kind may stand for a change that took effect.
+Maps a failure of the HTTP client to an API error.
 
-@returns The error that says so, or that the read failed.
+@returns `unknown` for a change that may have taken effect, otherwise `unavailable`.
 */
 export const failureOf = ({isChange}: Pick<ObjectApiCall, 'isChange'>, failure: HttpFailure): ApiError => isChange && failure.kind !== 'notSent'
 	? {kind: 'unknown', reason: failure.reason}
 	: {kind: 'unavailable', reason: failure.reason};
 
-/** Makes calls over kept connections. */
+/** Makes calls over pooled keep-alive connections. */
 export class ObjectApiCalls {
 	readonly #client: HttpClient;
 	readonly #options: ObjectApiOptions;
@@ -51,8 +51,8 @@
 	}
 
 	/**
-	@param interpret - Reads an answer; it may throw where the text is not what it should be.
-	@returns What it made of the answer, or why there is none. Never rejects.
+	@param interpret - Converts a response to a result; it may throw if the response is malformed.
+	@returns The result of `interpret`, or the failure. Never rejects.
 	*/
 	async call<T>(call: ObjectApiCall, interpret: (answer: ObjectApiAnswer) => Either<ApiError, T>): Promise<Either<ApiError, T>> {
 		const {address, timeoutMs} = this.#options;
@@ -68,7 +68,7 @@
 			wholeMs: headLimitMs + timeoutMs,
 		});
 		if (sent.isLeft()) {
-			// A silent connection is not used again: the next call must be able to succeed.
+			// An unresponsive connection is not reused, so that the next call can succeed.
 			this.#client.renew(address);
 			return Left(failureOf(call, sent.extract()));
 		}
--- a/src/io/peer-route.ts
+++ b/src/io/peer-route.ts
@@ -1,18 +1,18 @@
 /**
-Keeps a route for the fleet's own processes. The entry's port is the callers' too, and what processes tell each other is none of the callers' business: configuration holds the accounts' key hashes.
+Restricts a route to the processes of the fleet. The port of the entry is also open to callers, who must not see the messages between processes: configuration contains the key hashes of the accounts.
 */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Route} from './http-server.js';
 
-/** An IPv4 address that came in over an IPv6 socket is written `::ffff:a.b.c.d`. */
+/** Prefix of an IPv4 address on an IPv6 socket, which has the form `::ffff:a.b.c.d`. */
 const mappedPrefix = '::ffff:';
 
 const hostOf = (address: string) => address.slice(0, address.lastIndexOf(':')).replaceAll(/[\[\]]/gv, '');
 
 /**
-Refuses requests that come from any other address than the given ones' hosts.
+Rejects requests, with status 403, whose source is not the host of one of the given addresses.
 
-@param peers - `ip:port` of all VMs of the fleet, by the last list that was read.
+@param peers - Returns `ip:port` of all VMs of the fleet, from the last VM list that was read.
 */
 export const forPeersOnly = (route: Route, peers: () => readonly string[]): Route => ({
 	...route,
--- a/src/io/pino-event-log.ts
+++ b/src/io/pino-event-log.ts
@@ -1,5 +1,5 @@
 /**
-The numbered log as JSON lines, one an event: `event` is the number in docs/LOG-EVENTS.md, `program` who wrote it, `msg` the catalogue's text, and beside them the event's own fields.
+Writes the numbered event log as JSON lines, one per event. `event` is the number in docs/LOG-EVENTS.md, `program` the name of the program and `msg` the text of the event definition; the fields of the event are added.
 */
 import {once} from 'node:events';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -8,24 +8,24 @@
 import type {EventDefinition, LogFields, LogLevel} from '../common/types.js';
 import {platformEvents} from './log-events.js';
 
-/** What the log needs to know. */
+/** Options of the event log. */
 export type EventLogOptions = {
-	/** The name of the program. */
+	/** Name of the program. */
 	readonly program: string;
-	/** The name of the process in the fleet, where it has one. */
+	/** Name of the process in the fleet, if it has one. */
 	readonly node?: string;
-	/** Less urgent events are left out. */
+	/** Events below this level are not logged. */
 	readonly level: LogLevel;
-	/** Where lines go; standard output by default. */
+	/** Destination of the lines; standard output by default. */
 	readonly destination?: DestinationStream;
 };
 
 /**
-A reader that stops reading standard output must not hold up requests, nor grow this process beyond its memory. Writing is asynchronous, and once this many bytes wait, further lines are dropped.
+Maximum number of buffered bytes. A reader that stops reading standard output must neither delay requests nor exhaust the memory of this process: writing is asynchronous, and lines beyond this limit are dropped.
 */
 const waitingLimitBytes = 2_000_000;
 
-/** An {@link EventLog} by pino. */
+/** An {@link EventLog} based on pino. */
 export class PinoEventLog implements EventLog {
 	readonly #logger: Logger;
 	readonly #stdout: ReturnType<typeof pino.destination> | undefined;
@@ -51,12 +51,12 @@
 		}, destination ?? stdout);
 	}
 
-	/** Lines that were dropped since the start, because nobody read the log. */
+	/** Number of lines dropped since the start, because the reader of the log was too slow. */
 	get dropped(): number {
 		return this.#dropped;
 	}
 
-	/** From now on less urgent events than this are left out. */
+	/** Sets the lowest level that is logged. */
 	setLevel(level: LogLevel): void {
 		this.#logger.level = level;
 	}
@@ -67,9 +67,9 @@
 	}
 
 	/**
-	Resolves once every event has been written, so that the last ones of a process are not lost with it; after `limitMs` milliseconds at the latest, since a reader may never read on.
+	Resolves when all events have been written, so that the last events are not lost when the process exits, or after `limitMs` milliseconds, since the reader may never resume.
 
-	The library's synchronous flush is no substitute: a write that is under way in a thread is overtaken by it, and the last events stand in the log before those that led to them.
+	The synchronous flush of the library is no substitute: it overtakes a write in progress in another thread, so that the last events would appear in the log before those that caused them.
 	*/
 	async written(limitMs: number): Promise<void> {
 		if (!this.#hasWaiting || !this.#stdout) {
@@ -84,7 +84,7 @@
 		await Promise.allSettled([drained, limit]);
 	}
 
-	/** Without this line, a log that has a gap would look like one of a process that decided nothing. */
+	/** Logs the number of dropped lines, so that a gap in the log is not mistaken for a process without activity. */
 	#tellDropped() {
 		const lines = this.#dropped - this.#droppedTold;
 		if (lines > 0) {
--- a/src/io/program-run.ts
+++ b/src/io/program-run.ts
@@ -1,5 +1,5 @@
 /**
-The life of a daemon from its start to its exit: signals lead to a graceful shutdown, a broken invariant to an immediate stop.
+Manages the lifecycle of a daemon from start to exit. SIGTERM and SIGINT start a graceful shutdown; a violated invariant (an uncaught error) stops the process immediately.
 */
 import process from 'node:process';
 import type {Either} from 'purify-ts/Either';
@@ -16,18 +16,18 @@
 
 const stopSignals = ['SIGTERM', 'SIGINT'] as const;
 
-/** One daemon in this process. */
+/** The daemon that runs in this process. */
 export class ProgramRun {
 	readonly #services: OwnedServices;
 	#running: RunningProgram | undefined;
 	#stopping = false;
 	#broken = false;
 	#reload: SettingsReload<CommonSettings> | undefined;
-	/** A daemon runs until it is told to stop, also while it waits for nothing but the time of its next try. */
+	/** Keeps the event loop alive until the daemon is stopped, also while only unreferenced timers, such as those of a retry, are pending. */
 	readonly #keepAlive = setInterval(() => undefined, keepAliveMs);
 	readonly #onSignal: (signal: NodeJS.Signals) => void;
 
-	/** @param services - Released when the run ends. */
+	/** @param services - Closed when the run ends. */
 	constructor(services: OwnedServices) {
 		this.#services = services;
 		this.#onSignal = signal => {
@@ -35,10 +35,10 @@
 		};
 	}
 
-	/** Stops the process on a broken invariant, and answers signals. Call it before the program starts. */
+	/** Installs the handlers for uncaught errors and stop signals. Must be called before the program starts. */
 	guard(): void {
-		// After an error that nobody expected, the state in memory cannot be trusted: going on could answer a caller twice or with
-		// another's answer. Peers see the process leave at once and recover its requests, as they do after a crash.
+		// After an unexpected error the state in memory cannot be trusted: continuing could answer a caller twice or with the response
+		// of another caller. Peers detect the exit immediately and recover the requests of the process, as after a crash.
 		process.on('uncaughtException', err => {
 			this.#breakDown(err);
 		});
@@ -51,9 +51,9 @@
 	}
 
 	/**
-	Takes over changed settings from now on.
+	Starts applying changes of the settings file at run time.
 
-	@param path - The settings file.
+	@param path - Path of the settings file.
 	*/
 	reloadFrom(path: string, load: () => Either<SettingsError, CommonSettings>): void {
 		this.#reload = new SettingsReload({
@@ -67,26 +67,26 @@
 		});
 	}
 
-	/** @param running - The program, now that it has started. */
+	/** @param running - The program that has started. */
 	follow(running: RunningProgram): void {
 		this.#running = running;
 		this.#services.log.emit(platformEvents.programStarted, {version, pid: process.pid, addresses: running.addresses ?? {}});
-		// A signal that came while the program started was only noted.
+		// A signal received during the start was only recorded.
 		if (this.#stopping) {
 			void this.#drain(running);
 		}
 	}
 
 	/**
-	Ends the process after a failed start.
+	Exits after a failed start.
 
-	What the program had begun before it failed, such as a timer, would keep the process alive: its supervisor would see a running program that serves nobody, and never start it again.
+	Resources that the program created before it failed, such as a timer, would otherwise keep the process alive: its supervisor would see a running program that serves nobody, and never restart it.
 	*/
 	async abandon(code: ExitCode): Promise<void> {
 		await this.#exit(code);
 	}
 
-	/** Releases the program and its services, and listens to no more signals. */
+	/** Disposes of the program, closes its services and removes the signal handlers. */
 	async dispose(): Promise<void> {
 		stopSignals.forEach(signal => {
 			process.off(signal, this.#onSignal);
@@ -122,7 +122,7 @@
 		this.#services.log.emit(platformEvents.invariantBroken, {reason: message, stack});
 		const wasBroken = this.#broken;
 		this.#broken = true;
-		// The state may be so broken that the release fails as well.
+		// If disposing fails as well, the process exits without it.
 		if (wasBroken) {
 			this.#leave(exitCodes.brokenInvariant);
 		} else {
@@ -130,15 +130,15 @@
 		}
 	}
 
-	/** The program is released before the log is written out, so nothing that it still has in hand reaches a caller meanwhile. */
+	/** Disposes of the program before the log is flushed, so that no pending work reaches a caller during the flush. */
 	async #exit(code: ExitCode): Promise<void> {
 		await this.dispose();
 		this.#leave(code);
 	}
 
-	/** A socket or timer that a program forgot would keep the process alive after its shutdown, so it does not wait for them. */
+	/** Exits explicitly: a socket or timer that was not closed would keep the process alive after its shutdown. */
 	#leave(code: ExitCode): void {
-		// eslint-disable-next-line unicorn/no-process-exit -- the frame decides when a program ends.
+		// eslint-disable-next-line unicorn/no-process-exit -- the frame decides when a program exits.
 		process.exit(code);
 	}
 }
--- a/src/io/program-services.ts
+++ b/src/io/program-services.ts
@@ -1,5 +1,5 @@
 /**
-Makes the services that the frame hands to a program, from its common settings.
+Creates the services that the frame provides to a program, from its common settings.
 */
 import process from 'node:process';
 import {parseAddress} from './address.js';
@@ -11,24 +11,23 @@
 import {type CommonSettings} from './settings-schemas.js';
 import {SystemClock} from './system-clock.js';
 
-/** Services that the frame owns and releases. */
+/** Services with the operations that are reserved for the frame, which owns them. */
 export type OwnedServices = ProgramServices & {
-	/** Takes over what may change while the program runs. */
+	/** Applies the settings that may change at run time. */
 	reload(settings: CommonSettings): void;
-	/** Resolves once events and metrics are out, within a bounded time. */
+	/** Flushes events and metrics and resolves within a bounded time. */
 	close(): Promise<void>;
 };
 
-/** A process that must stop waits no longer than this for the reader of its log, in milliseconds. */
+/** Maximum time in milliseconds for which an exiting process waits for the reader of its log. */
 const closeLimitMs = 500;
 
-/** Processes that start together must not draw the same numbers: their retries would collide again and again. */
+/** Combines time and process id: processes that start together must not draw the same random numbers, or their retries would collide repeatedly. */
 const freshSeed = (): number => Number(process.hrtime.bigint() % (2n ** 31n)) + process.pid;
 
 /**
-@param program - The program's name; marks its log lines and metrics.
+@param program - Name of the program, added to its log lines and metrics.
 @param settings - The common settings.
-@returns The services.
 */
 export const createServices = (program: string, {logLevel, metrics, name}: CommonSettings & {readonly name?: string}): OwnedServices => {
 	const log = new PinoEventLog({program, node: name, level: logLevel});
--- a/src/io/program.ts
+++ b/src/io/program.ts
@@ -1,5 +1,5 @@
 /**
-The frame of every daemon: command line, settings, log, metrics, signals and exit codes. A program adds only its schema and a `start` function, so all of them stop, fail and report alike.
+The common frame of all daemons: command line, settings, log, metrics, signals and exit codes. A program contributes only its settings schema and a `start` function, so that all daemons start, stop and report failures the same way.
 */
 import process from 'node:process';
 import {type Either} from 'purify-ts/Either';
@@ -19,42 +19,42 @@
 import {reportUsageErrors, tellUnknownOption} from './usage-errors.js';
 import {version} from './version.js';
 
-/** What the frame hands to a program. */
+/** Services that the frame provides to a program. */
 export type ProgramServices = {
 	readonly log: EventLog;
-	/** Log lines that were dropped since the start. */
+	/** Number of log lines dropped since the start. */
 	readonly droppedLines: () => number;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 };
 
-/** Why a program could not start, for instance because its port is taken. */
+/** Why a program could not start, for instance because its port is in use. */
 export type StartError = {
 	readonly exitCode: ExitCode;
-	/** A sentence for people. */
+	/** Human-readable description. */
 	readonly message: string;
 };
 
-/** A program that is running. */
+/** A program after a successful start. */
 export type RunningProgram = {
-	/** Where it listens, by what for; told in the first log event. */
+	/** Listening addresses by purpose; written to the first log event. */
 	readonly addresses?: Readonly<Record<string, string>>;
-	/** Takes over settings that were changed while it runs; what can not change without a restart is left as it is. */
+	/** Applies changed settings at run time; settings that require a restart are ignored. */
 	reload?(settings: unknown): void;
-	/** Takes no new work and resolves once the work in hand is done. */
+	/** Stops accepting work and resolves when all work in progress is complete. */
 	drain(): Promise<void>;
-	/** Releases everything at once. Called after `drain`. */
+	/** Releases all resources immediately. Called after `drain`, or without it on a violated invariant. */
 	dispose(): void;
 };
 
-/** A program, as its main module describes it. */
+/** Definition of a program, provided by its main module. */
 export type Program<T extends CommonSettings> = {
-	/** The name of the binary. */
+	/** Name of the binary. */
 	readonly name: string;
-	/** One sentence for `--help`. */
+	/** One-sentence description for `--help`. */
 	readonly describe: string;
-	/** Its settings; must include `commonSettings`. */
+	/** Schema of its settings; must include `commonSettings`. */
 	readonly schema: ZodType<T>;
 	readonly start: (settings: T, services: ProgramServices) => Promise<Either<StartError, RunningProgram>>;
 };
@@ -93,10 +93,10 @@
 };
 
 /**
-Runs a daemon until it is told to stop. Exit codes are those of `exit-codes.ts`: 0 after a graceful shutdown, 64 for a wrong command line, 66 and 78 for settings, 70 for a broken invariant, or what `start` returned.
+Runs a daemon until it is stopped. Exit codes are those of `exit-codes.ts`: 0 after a graceful shutdown, 64 for a wrong command line, 66 and 78 for settings, 70 for a violated invariant, or the code that `start` returned.
 
-@param program - What to run.
-@param argv - The process's arguments.
+@param program - Program to run.
+@param argv - Arguments of the process.
 */
 export const runProgram = <T extends CommonSettings>(program: Program<T>, argv: string[] = process.argv): void => {
 	reportUsageErrors();
--- a/src/io/prometheus-metrics.ts
+++ b/src/io/prometheus-metrics.ts
@@ -1,5 +1,5 @@
 /**
-Metrics that wait to be read, as text in the usual exposition format, on an address of their own.
+Exposes metrics over HTTP on a separate address, in the Prometheus text exposition format.
 */
 import {createServer, type Server, type ServerResponse} from 'node:http';
 import {
@@ -8,15 +8,15 @@
 import type {Disposable, Metrics} from '../common/services.js';
 import {parseAddress} from './address.js';
 
-/** Bounds of the buckets of latencies, in milliseconds: fine around first tokens (tens) and latency targets (hundreds), coarse up to the longest time limits. */
+/** Upper bounds of the latency buckets in milliseconds: fine around first-token latencies (tens) and latency targets (hundreds), coarse up to the longest time limits. */
 const latencyBucketsMs = [5, 10, 25, 50, 75, 100, 150, 200, 300, 500, 750, 1000, 2000, 4000, 8000, 16_000];
 
 type Tags = Readonly<Record<string, string>>;
 
-/** Names hold dots, which the format does not allow. */
+/** Metric names contain dots, which the exposition format does not allow. */
 const nameOf = (name: string): string => `citronyard_${name.replaceAll(/[^a-zA-Z0-9_]/gv, '_')}`;
 
-/** Keeps metrics in memory. Tags must have few values: each combination is kept. */
+/** Retains metrics in memory. Tags must have few distinct values, since each combination is retained. */
 export class PrometheusMetrics implements Metrics, Disposable {
 	readonly #registry = new Registry();
 	readonly #counters = new Map<string, Counter>();
@@ -45,7 +45,7 @@
 		histogram.observe(tags, ms);
 	}
 
-	/** All metrics, as text. */
+	/** All metrics in the text exposition format. */
 	async text(): Promise<string> {
 		return this.#registry.metrics();
 	}
@@ -54,7 +54,7 @@
 	Serves the metrics at `/metrics`.
 
 	@param address - `ip:port`.
-	@param onRead - Called before each reading, to bring gauges up to date.
+	@param onRead - Called before each scrape, to update gauges.
 	*/
 	serve(address: string, onRead: () => void): void {
 		const {host, port} = parseAddress(address) ?? {host: '', port: 0};
@@ -63,7 +63,7 @@
 			void this.#answer(res);
 		});
 		this.#server.unref();
-		// A process that serves callers must not stop because its metrics can not be read.
+		// A failure to serve metrics must not stop a process that serves callers.
 		this.#server.on('error', () => undefined);
 		this.#server.listen({host, port});
 	}
--- a/src/io/read-body.ts
+++ b/src/io/read-body.ts
@@ -1,23 +1,23 @@
 /**
-Reads the body of a request up to a limit.
+Reads the body of an HTTP request up to a size limit.
 */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 import {Left, Right, type Either} from 'purify-ts/Either';
 
-/** Why a body was not read: it is larger than allowed, or its sender went away. */
+/** Why a body was not read. `tooLarge`: it exceeds the size limit. `cut`: its sender closed the connection. */
 export type BodyFailure
 	= | {readonly kind: 'tooLarge'; readonly limitBytes: number}
 		| {readonly kind: 'cut'};
 
-// A sender that is cut off in the middle of its body sees a reset connection instead of the refusal. Up to this much more is read and dropped; a body beyond that is cut.
+// A sender whose connection is closed while it sends the body receives a reset instead of the rejection. Up to this many bytes above the limit are therefore read and discarded; for larger bodies reading stops.
 const drainedBytes = 67_108_864;
 
 /**
-Reads a whole body. What exceeds the limit is read and dropped, within reason, so that the sender gets to see the refusal.
+Reads a complete body. A limited number of bytes above the limit is read and discarded, so that the sender receives the rejection.
 
-@param limitBytes - The largest body that is taken.
-@returns The bytes, or why there are none. Never rejects.
+@param limitBytes - Maximum accepted size of the body.
+@returns The body, or the failure. Never rejects.
 */
 export const readBody = async (req: IncomingMessage, limitBytes: number): Promise<Either<BodyFailure, Buffer>> => {
 	const parts: Buffer[] = [];
--- a/src/io/rpc-client.ts
+++ b/src/io/rpc-client.ts
@@ -1,5 +1,5 @@
 /**
-JSON-RPC 2.0 calls between citronyard's own processes, over HTTP POST to `/rpc`.
+JSON-RPC 2.0 client for calls between processes of the fleet, over HTTP POST to `/rpc`.
 */
 import {
 	JSONRPCClient, type JSONRPCParams, type JSONRPCRequest, type JSONRPCResponse,
@@ -7,7 +7,7 @@
 import {Left, Right, type Either} from 'purify-ts/Either';
 import type {HttpClient, HttpFailure, HttpResponse} from './http-client.js';
 
-/** Where a call goes and how long it may take. */
+/** Destination and time limit of a call. */
 export type RpcTarget = {
 	/** `ip:port`. */
 	readonly address: string;
@@ -16,13 +16,13 @@
 	readonly fresh?: boolean;
 };
 
-/** Why a call has no result. `rejected` is the other end's own answer. */
+/** Why a call has no result. `rejected`: the callee returned an error. */
 export type RpcFailure = HttpFailure | {readonly kind: 'rejected'; readonly reason: string};
 
-/** One call under way. The library turns a failed sending into an error of its own, so the failure is kept here. */
+/** A call in progress. The library replaces a send failure by its own error, so the original failure is stored here. */
 type Call = {readonly target: RpcTarget; failure?: HttpFailure};
 
-/** Calls methods of other processes. */
+/** Calls methods of other processes over JSON-RPC. */
 export class RpcClient {
 	readonly #http: HttpClient;
 	readonly #client: JSONRPCClient<Call>;
@@ -45,7 +45,7 @@
 	/**
 	Calls a method.
 
-	@returns Its result, or why there is none. Never rejects.
+	@returns The result, or the failure. Never rejects.
 	*/
 	async call<T>(target: RpcTarget, method: string, params: JSONRPCParams): Promise<Either<RpcFailure, T>> {
 		const call: Call = {target};
@@ -63,7 +63,7 @@
 		if (sent.isLeft()) {
 			const failure = sent.extract();
 			if (failure.kind === 'silent') {
-				// The connection may be silent for good; later calls need another.
+				// The connection may be permanently unresponsive, so later calls must use another one.
 				this.#http.renew(target.address);
 			}
 
@@ -73,7 +73,7 @@
 		return this.#read(sent.extract() as HttpResponse, payload);
 	}
 
-	// After a VM was replaced, its address may answer with anything, JSON included. An answer without the call's id would leave the call open for ever, and whoever waits for it with it.
+	// After a VM was replaced, an unrelated server may respond at its address, even with JSON. Passing on a response without the id of the call would leave the call and its caller pending forever.
 	async #read(res: HttpResponse, {id}: JSONRPCRequest): Promise<Either<HttpFailure, JSONRPCResponse>> {
 		const answer = await this.#parse(res);
 		return res.status === 200 && answer && answer.id === id
--- a/src/io/rpc-route.ts
+++ b/src/io/rpc-route.ts
@@ -1,5 +1,5 @@
 /**
-The `/rpc` route: JSON-RPC 2.0 methods of this process for its peers.
+The `/rpc` route, which serves the JSON-RPC 2.0 methods of this process to its peers.
 */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {JSONRPCErrorCode, JSONRPCErrorException, JSONRPCServer} from 'json-rpc-2.0';
@@ -7,10 +7,10 @@
 import {readBody} from './read-body.js';
 import type {Route} from './http-server.js';
 
-/** A method's handler. What it resolves with is the result; it must not reject but for broken invariants. */
+/** Handler of a method. It resolves with the result and must not reject except on a violated invariant. */
 export type RpcMethod = (params: never) => unknown;
 
-/** The methods a process offers, by name. */
+/** Methods of a process by name. */
 export type RpcMethods = Readonly<Record<string, RpcMethod>>;
 
 const maxRpcBytes = 8_388_608;
@@ -21,9 +21,9 @@
 };
 
 /**
-Makes the route that serves the methods.
+Creates the route that serves the methods.
 
-@returns A route for {@link HttpServer}. Bad input, parameters that fail their test in {@link messageValidators} included, is answered by JSON-RPC's own errors.
+@returns A route for {@link HttpServer}. Invalid input, including parameters that fail their validation by {@link messageValidators}, is answered with a JSON-RPC error.
 */
 export const rpcRoute = (methods: RpcMethods): Route => {
 	const server = new JSONRPCServer({errorListener: () => undefined});
--- a/src/io/schema-messages.ts
+++ b/src/io/schema-messages.ts
@@ -1,9 +1,9 @@
 /**
-Turns what a schema finds into sentences for operators. The unit of a number is part of its key (`timeoutMs`, `limitBytes`), so a value such as "5s" is told which unit the key wants.
+Converts schema validation issues into messages for operators. The unit of a number is part of its key (`timeoutMs`, `limitBytes`), so the message for a value such as "5s" can name the expected unit.
 */
 import {type core} from 'zod';
 
-/** A problem at a path, in plain words. */
+/** A validation problem at a path, with a human-readable message. */
 export type PlainIssue = {
 	readonly path: Array<string | number>;
 	readonly message: string;
@@ -12,7 +12,7 @@
 type Issue = core.$ZodIssue;
 type ValueAt = (path: Array<string | number>) => unknown;
 
-/** What a number means, by the ending of its key. */
+/** Units of numbers by the suffix of their key. */
 const units: ReadonlyArray<readonly [ending: string, unit: string]> = [
 	['Ms', 'milliseconds'],
 	['Bytes', 'bytes'],
@@ -24,7 +24,7 @@
 	string: 'a string', number: 'a number', int: 'a whole number', boolean: 'true or false', array: 'a list', object: 'an object', record: 'an object', null: 'null',
 };
 
-/** A value in a message: lists and objects by their type alone, since they may be long. */
+/** Formats a value for a message; lists and objects by type only, since they may be long. */
 const shown = (value: unknown): string => {
 	if (typeof value === 'string') {
 		return `the string ${JSON.stringify(value)}`;
@@ -68,7 +68,7 @@
 	invalid_value: (issue, path, valueAt) => [{path, message: choiceMessage(issue.values, valueAt(path))}],
 	too_small: (issue, path) => [{path, message: bound(issue, issue.minimum, ['at least', 'more than'])}],
 	too_big: (issue, path) => [{path, message: bound(issue, issue.maximum, ['at most', 'less than'])}],
-	/** The shape that fits best is taken as the one meant: its problems lie deepest, and it has the fewest. */
+	/** Reports the problems of the union member that matches best: the one whose problems are deepest, and of those the one with the fewest. */
 	invalid_union(issue, path, valueAt) {
 		if ('options' in issue && Array.isArray(issue.options)) {
 			return [{path, message: choiceMessage(issue.options, valueAt(path))}];
@@ -81,9 +81,9 @@
 };
 
 /**
-@param issue - What a schema found.
-@param valueAt - Reads the value at a path, `undefined` when there is none.
-@returns The same in plain words; several when several keys are unknown.
+@param issue - Issue reported by a schema.
+@param valueAt - Returns the value at a path, or `undefined` when there is none.
+@returns The issue as human-readable problems; several when several keys are unknown.
 */
 export const plainMessages = (issue: Issue, valueAt: ValueAt): PlainIssue[] => {
 	const path = issue.path.filter(part => typeof part !== 'symbol');
--- a/src/io/seeded-random.ts
+++ b/src/io/seeded-random.ts
@@ -1,17 +1,17 @@
 /**
-Chance that can be repeated: two sources with the same seed give the same numbers, so a logged seed is enough to replay a run's decisions.
+A reproducible random source: two sources with the same seed produce the same numbers, so a logged seed is sufficient to replay the decisions of a run.
 */
 import {xoroshiro128plus} from 'pure-rand';
 import {type RandomSource} from '../common/services.js';
 
-/** Distinct results of one draw, which is a signed 32-bit number. */
+/** Number of distinct values of the generator, whose output is a signed 32-bit integer. */
 const draws = 2 ** 32;
 
-/** A {@link RandomSource} from a 32-bit seed. */
+/** A {@link RandomSource} with a 32-bit seed. */
 export class SeededRandom implements RandomSource {
 	readonly #generator;
 
-	/** @param seed - A whole number; only its low 32 bits count. */
+	/** @param seed - An integer, of which only the low 32 bits are used. */
 	constructor(seed: number) {
 		this.#generator = xoroshiro128plus(seed);
 	}
--- a/src/io/settings-reload.ts
+++ b/src/io/settings-reload.ts
@@ -1,5 +1,5 @@
 /**
-Reads the settings again when the operator says so by SIGHUP, and when the file has changed without a word. Wrong settings change nothing: those before stay in force, and the log says what is wrong.
+Reloads the settings on SIGHUP and when the settings file has changed. Invalid settings are logged and rejected; the previous settings remain in force.
 */
 import {unwatchFile, watchFile} from 'node:fs';
 import process from 'node:process';
@@ -8,7 +8,7 @@
 import {platformEvents} from './log-events.js';
 import {describeSettingsError, type SettingsError} from './settings-error.js';
 
-/** Where settings come from and who takes them. */
+/** Source and consumer of the settings. */
 export type SettingsReloadParts<T> = {
 	readonly path: string;
 	readonly log: EventLog;
@@ -16,16 +16,16 @@
 	readonly apply: (settings: T) => void;
 };
 
-/** How often the file is looked at, in milliseconds; a call of the operating system costs some microseconds. */
-const lookMs = 5000;
+/** Interval in milliseconds at which the file is checked for changes; one check is a system call of a few microseconds. */
+const pollIntervalMs = 5000;
 
-/** See the module's head. */
+/** Reloads the settings of a running program. */
 export class SettingsReload<T> implements Disposable {
 	readonly #parts: SettingsReloadParts<T>;
 	readonly #onSignal: () => void;
 	readonly #onChange: () => void;
 
-	/** Listens at once. Without a listener, SIGHUP would end the process. */
+	/** Starts listening immediately. Without a listener, SIGHUP would terminate the process. */
 	constructor(parts: SettingsReloadParts<T>) {
 		this.#parts = parts;
 		this.#onSignal = () => {
@@ -37,7 +37,7 @@
 		};
 
 		process.on('SIGHUP', this.#onSignal);
-		watchFile(parts.path, {interval: lookMs, persistent: false}, this.#onChange);
+		watchFile(parts.path, {interval: pollIntervalMs, persistent: false}, this.#onChange);
 	}
 
 	dispose(): void {
--- a/src/io/settings-schemas.ts
+++ b/src/io/settings-schemas.ts
@@ -1,16 +1,16 @@
 /**
-Pieces from which each program builds the schema of its settings, so that the same thing is written and checked alike everywhere.
+Building blocks for the settings schemas of all programs, so that addresses, durations and sizes are written and validated the same way everywhere.
 */
 import * as z from 'zod';
 import {parseAddress} from './address.js';
 
-const wantsAddress = 'wants "ip:port" with an IP number, for instance "10.0.0.1:8080" or "[fd00::1]:8080"';
+const addressRequirement = 'wants "ip:port" with an IP number, for instance "10.0.0.1:8080" or "[fd00::1]:8080"';
 
-/** An address to reach: `ip:port`, port 1 to 65535. */
-export const addressSchema = z.string().refine(text => (parseAddress(text)?.port ?? 0) > 0, wantsAddress);
+/** An address to connect to: `ip:port`, with a port from 1 to 65535. */
+export const addressSchema = z.string().refine(text => (parseAddress(text)?.port ?? 0) > 0, addressRequirement);
 
-/** An address to listen on: as {@link addressSchema}, and port 0 for any free port. */
-export const listenAddressSchema = z.string().refine(text => parseAddress(text) !== undefined, wantsAddress);
+/** An address to listen on: like {@link addressSchema}, but port 0 is allowed and selects any free port. */
+export const listenAddressSchema = z.string().refine(text => parseAddress(text) !== undefined, addressRequirement);
 
 type NumberSetting = {
 	(): z.ZodNumber;
@@ -20,48 +20,48 @@
 const numberSetting = (schema: z.ZodNumber): NumberSetting => ((byDefault?: number) => byDefault === undefined ? schema : schema.default(byDefault)) as NumberSetting;
 
 /**
-A duration; its key must end in `Ms`.
+A duration in milliseconds; its key must end in `Ms`.
 
-@param byDefault - In milliseconds; without it the key must be given.
+@param byDefault - Default in milliseconds; without it the key is required.
 */
 export const durationMs = numberSetting(z.number().min(0));
 
 /**
-A size; its key must end in `Bytes`.
+A size in bytes; its key must end in `Bytes`.
 
-@param byDefault - In bytes; without it the key must be given.
+@param byDefault - Default in bytes; without it the key is required.
 */
 export const sizeBytes = numberSetting(z.int().min(0));
 
 /**
-A whole number of things, 0 included.
+A non-negative integer count.
 
-@param byDefault - Without it the key must be given.
+@param byDefault - Default value; without it the key is required.
 */
 export const countOf = numberSetting(z.int().min(0));
 
-/** Where DogStatsD metrics go, by UDP. */
+/** The DogStatsD collector that receives metrics over UDP. */
 export const metricsSchema = z.strictObject({
 	address: addressSchema,
-	/** Stands before each metric's name. */
+	/** Prepended to the name of each metric. */
 	prefix: z.string().default('citronyard.'),
 });
 
-/** Where the platform's services are. */
+/** Addresses of the platform services, and the time limit for calls to them. */
 export const platformSettings = z.strictObject({
 	objectApi: addressSchema,
 	vmList: addressSchema,
-	/** How long one call may take. */
+	/** Time limit for one call. */
 	timeoutMs: durationMs(2000),
 });
 
-/** Settings that every program knows; spread it into a program's own `z.strictObject({…})`. */
+/** Settings that all programs share; spread them into the `z.strictObject({…})` of a program. */
 export const commonSettings = {
-	/** The least urgent level that is logged. */
+	/** The lowest level that is logged. */
 	logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
-	/** Without it no metrics are sent. */
+	/** When absent, no metrics are sent. */
 	metrics: metricsSchema.optional(),
 } as const;
 
-/** The common settings once they are checked. */
+/** The common settings after validation. */
 export type CommonSettings = z.infer<z.ZodObject<typeof commonSettings>>;
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -1,5 +1,5 @@
 /**
-Loads a program's settings: one file of JSON with comments, checked against a strict schema before anything else starts, so that a typing error never runs as a default.
+Loads the settings of a program from one JSON file with comments. The file is validated against a strict schema before anything else starts, so that a misspelled key never silently falls back to a default.
 */
 import {type Either} from 'purify-ts/Either';
 import {type ZodType} from 'zod';
@@ -7,9 +7,9 @@
 import {type SettingsError} from './settings-error.js';
 
 /**
-@param schema - What the settings must be; objects in it should be strict, so that unknown keys are refused.
-@param path - The file.
-@returns The settings with their defaults, or everything that is wrong with the file at once.
+@param schema - Schema of the settings; its objects should be strict, so that unknown keys are rejected.
+@param path - Path of the settings file.
+@returns The settings with defaults applied, or all problems of the file together.
 */
 export const loadSettings = <T>(schema: ZodType<T>, path: string): Either<SettingsError, T> =>
 	JsoncDocument.read(path).chain(document => document.check(schema));
--- a/src/io/socket-watch.ts
+++ b/src/io/socket-watch.ts
@@ -1,19 +1,19 @@
 /**
-Knows a connection's socket and whether it has failed, for the end of an answer that tells neither its length nor its pieces: such an answer is whole if its connection was closed, and cut if it was reset.
+Tracks the socket of a connection and detects whether it was reset, to verify the end of a response with neither a `content-length` nor chunked encoding: such a response is complete if its connection was closed, and truncated if it was reset.
 
-Undici takes such an answer for complete when its connection is reset, and a reset that arrives together with the last bytes is not even reported as one: Node reads the bytes, sees that the other side is gone, and tells an ordinary end without looking at the socket's error. The caller would get half of an answer as a whole one.
+Undici treats such a response as complete even when its connection is reset. A reset that arrives together with the last bytes is not even reported: Node reads the bytes, sees that the other side has closed, and emits an ordinary end without checking the socket error. The caller would receive a truncated response as a complete one.
 */
 import type {Socket} from 'node:net';
 
-/** Means nothing after an answer, and the connection carries no further request. */
+/** Ignored by a server after a response; the connection carries no further request. */
 const harmlessBytes = '\r\n';
 
-/** See the module's head. */
+/** Detects a reset of a connection. */
 export class SocketWatch {
 	#socket: Socket | undefined;
 	#hasFailed = false;
 
-	/** @param socket - The connection's; it has to stay writable after the other end has closed (`allowHalfOpen`). `null`: the connection could not be made. */
+	/** @param socket - Socket of the new connection; it must stay writable after the server has closed its side (`allowHalfOpen`). `null` if the connection could not be established. */
 	follow(socket: Socket | null): void {
 		this.#socket = socket ?? undefined;
 		this.#hasFailed = false;
@@ -22,7 +22,7 @@
 		});
 	}
 
-	/** Whether the other end reset the connection rather than ended it; to be asked at the end of an answer, before anything else happens to the socket. A write settles it: on a connection that was reset it fails at once, on one that was closed it succeeds. */
+	/** Whether the server reset the connection instead of closing it. Must be called at the end of a response, before the socket is used otherwise. The check is a write, which fails immediately on a connection that was reset and succeeds on one that was closed. */
 	async wasReset(): Promise<boolean> {
 		const socket = this.#socket;
 		if (!socket || this.#hasFailed) {
--- a/src/io/sse-reader.ts
+++ b/src/io/sse-reader.ts
@@ -1,34 +1,34 @@
 /**
-Reads an event stream and notices when its connection has gone silent. Heartbeats of the sender arrive several times a second; TCP alone would not tell for minutes.
+Reads an event stream and detects an unresponsive connection. The sender emits heartbeats several times a second, so a missing byte is noticed quickly; TCP alone would not report the failure for minutes.
 
-Silence is counted in steps, each of which ends when the sockets have been read: after a pause of this process timers come before sockets, and what was sent meanwhile may still be on its way through them. A pause counts as one step, however long it was.
+Idle time is counted in steps, each of which ends only after the sockets have been read: after a pause of this process, timers run before sockets, and data that arrived meanwhile may still be unread. A pause therefore counts as one step, whatever its length.
 */
 import type {Readable} from 'node:stream';
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 
-/** How a stream ended. Only `ended` came from the sender; `broken` says that an event could not be used. */
+/** How a stream ended. `ended`: closed by the sender. `silent`: no data within the time limit. `lost`: the connection failed. `broken`: an event was rejected by the handler. */
 export type StreamEnd = 'ended' | 'silent' | 'lost' | 'broken';
 
-/** Takes one event; `false` gives the stream up as broken. */
+/** Handles one event; returning `false` aborts the stream as `broken`. */
 export type EventHandler = (event: EventSourceMessage) => unknown;
 
-/** Asked after each piece that came: a promise when nothing more may be read until it resolves. */
+/** Called after each chunk; returns a promise when reading must pause until it resolves. */
 export type StreamPause = () => Promise<void> | undefined;
 
 const stepsOfSilence = 4;
 
 /**
-Feeds each event of a stream to `onEvent` until the stream ends.
+Passes each event of a stream to `onEvent` until the stream ends.
 
-@param silenceMs - Milliseconds without a byte after which the stream is given up and destroyed; 0 waits for ever.
-@returns How it ended. Never rejects.
+@param silenceMs - Milliseconds without a byte after which the stream is destroyed; 0 disables the limit.
+@returns How the stream ended. Never rejects.
 */
 export const followEvents = async (body: Readable, silenceMs: number, onEvent: EventHandler, pause?: StreamPause): Promise<StreamEnd> => new Promise(resolve => {
 	let silentSteps = 0;
 	let isOver = false;
 	const step = () => {
 		silentSteps = body.isPaused() ? 0 : silentSteps + 1;
-		// The first step may have begun long before the last byte came.
+		// The first step may have started long before the last byte arrived, so it is not counted.
 		if (!isOver && silentSteps > stepsOfSilence) {
 			finish('silent');
 		}
@@ -40,7 +40,7 @@
 		}, silenceMs / stepsOfSilence)
 		: undefined;
 	const finish = (end: StreamEnd) => {
-		// What a given-up stream still delivers must not mix with what its successor brings.
+		// Events that an aborted stream still delivers must not mix with those of its replacement.
 		isOver = true;
 		clearInterval(watch);
 		resolve(end);
@@ -54,7 +54,7 @@
 			}
 		},
 	});
-	// While its reader can take no more, the stream stands still instead of filling this process's memory; the pause does not count as silence.
+	// Backpressure: while the consumer cannot accept more, the stream is paused instead of being buffered in memory. The pause does not count as idle time.
 	const standStill = async (resumed: Promise<void>) => {
 		body.pause();
 		await resumed;
--- a/src/io/sse-writer.ts
+++ b/src/io/sse-writer.ts
@@ -1,13 +1,13 @@
 /**
-Writes an event stream (`text/event-stream`) with heartbeats, so that its reader can tell a pause from a silent connection.
+Writes an event stream (`text/event-stream`) with heartbeats, so that its reader can distinguish a pause between events from an unresponsive connection.
 */
 import type {ServerResponse} from 'node:http';
 import type {Disposable} from '../common/services.js';
 
-/** Milliseconds between heartbeats on a stream on which nothing else is sent. */
+/** Milliseconds between heartbeats on an idle stream. */
 export const heartbeatMs = 250;
 
-/** One event stream on one response. */
+/** An event stream over one HTTP response. */
 export class SseWriter implements Disposable {
 	readonly #res: ServerResponse;
 	readonly #timer: NodeJS.Timeout;
@@ -22,14 +22,14 @@
 		}, heartbeatMs);
 	}
 
-	/** Sends one event. `data` must hold no line break. */
+	/** Sends one event. `data` must not contain line breaks. */
 	send(event: string, data: string, id?: number): void {
 		this.#sentSinceTick = true;
 		const idLine = id === undefined ? '' : `id: ${id}\n`;
 		this.#res.write(`event: ${event}\n${idLine}data: ${data}\n\n`);
 	}
 
-	/** Ends the stream. */
+	/** Stops the heartbeats and ends the response. */
 	end(): void {
 		this.dispose();
 		this.#res.end();
--- a/src/io/system-clock.ts
+++ b/src/io/system-clock.ts
@@ -1,10 +1,10 @@
 /**
-The time of this machine.
+Clock of this machine.
 */
 import {performance} from 'node:perf_hooks';
 import {type Clock} from '../common/services.js';
 
-/** A {@link Clock} on the process's monotonic clock and the machine's wall clock. */
+/** A {@link Clock} based on the monotonic clock of the process and the wall clock of the machine. */
 export class SystemClock implements Clock {
 	now(): number {
 		return performance.now();
--- a/src/io/time-limit.ts
+++ b/src/io/time-limit.ts
@@ -1,11 +1,11 @@
 /**
-Time limits that count only the time in which this process ran. On a busy machine a process may be paused for longer than a call may take; what was sent to it meanwhile, or what it had yet to send itself, says nothing of the other end. A limit is counted in steps, each of which ends when the sockets have been read, as after a pause timers come before sockets. A pause counts as one step, however long it was.
+Timeouts that do not count pauses of this process. On a busy machine a process may be paused for longer than the time limit of a call; data that arrived or could not be sent meanwhile does not indicate a failure of the other end. The limit is counted in steps, each of which ends only after the sockets have been read, since timers run before sockets after a pause. A pause therefore counts as one step, whatever its length.
 */
 import type {Disposable} from '../common/services.js';
 
 const stepsOfLimit = 4;
 
-/** See the module's head. */
+/** A timeout that does not count pauses of this process. */
 export class TimeLimit implements Disposable {
 	readonly #stepMs: number;
 	readonly #onOver: () => void;
@@ -14,8 +14,8 @@
 	#isDisposed = false;
 
 	/**
-	@param ms - Milliseconds.
-	@param onOver - Called once, unless the limit is disposed of before.
+	@param ms - Time limit in milliseconds.
+	@param onOver - Called once when the limit expires, unless it is disposed of before.
 	*/
 	constructor(ms: number, onOver: () => void) {
 		this.#stepMs = ms / stepsOfLimit;
--- a/src/io/undici-parts.d.ts
+++ b/src/io/undici-parts.d.ts
@@ -1,5 +1,5 @@
 /**
-Undici's dispatchers, imported by file: the whole package adds about 12 MB to an idle process, these parts about 8.
+Type declarations for the parts of undici that are imported by file: the complete package adds about 12 MB to an idle process, these parts about 8 MB.
 */
 declare module 'undici/lib/dispatcher/agent.js' {
 	export {Agent as default} from 'undici';
@@ -17,7 +17,7 @@
 	import type {Dispatcher} from 'undici';
 
 	const WrapHandler: {
-		/** Makes a handler with the library's earlier set of functions one with the present set. */
+		/** Adapts a handler with undici's legacy callbacks to the current interface. */
 		wrap(handler: Dispatcher.DispatchHandler): Dispatcher.DispatchHandler;
 	};
 
--- a/src/io/usage-errors.ts
+++ b/src/io/usage-errors.ts
@@ -1,12 +1,12 @@
 /**
-The exit code of a wrong command line. The command-line library leaves with status 1, which says nothing; no other part of the programs uses 1.
+Maps the exit status of the command-line library to the exit code of a usage error. The library exits with the unspecific status 1 on an invalid command line; the programs use status 1 for nothing else.
 */
 import process from 'node:process';
 import {exitCodes} from './exit-codes.js';
 
 const libraryStatus = 1;
 
-/** From here on the command-line library's exit status becomes the one for a usage error. */
+/** Installs an exit handler that replaces the exit status of the command-line library by the one of a usage error. */
 export const reportUsageErrors = (): void => {
 	process.once('exit', code => {
 		if (code === libraryStatus) {
@@ -15,7 +15,7 @@
 	});
 };
 
-/** @param flag - An option that the program does not have. The command-line library then ends the process. */
+/** @param flag - An unknown option. The command-line library exits after the message has been written. */
 export const tellUnknownOption = (flag: string): void => {
 	process.stderr.write(`Unknown option: ${flag}\n`);
 };
--- a/src/io/version.ts
+++ b/src/io/version.ts
@@ -1,10 +1,10 @@
 /**
-The version of this build.
+Version of this build.
 */
 
 declare const CITRONYARD_VERSION: string;
 
 const isBundled = typeof CITRONYARD_VERSION === 'string';
 
-/** The package's version, put in when the program is bundled; `0.0.0-dev` when it runs from source. */
+/** The package version, injected when the program is bundled; `0.0.0-dev` when it runs from source. */
 export const version: string = isBundled ? CITRONYARD_VERSION : '0.0.0-dev';
--- a/src/io/watched-client.ts
+++ b/src/io/watched-client.ts
@@ -1,5 +1,5 @@
 /**
-Undici's connection to one address, but for the end of an answer that tells neither its length nor its pieces: only the way in which the connection ended says whether such an answer is whole, and undici takes a reset for an end.
+An undici client that verifies the end of responses with neither a `content-length` nor chunked encoding. Such a response is complete only if its connection was closed in order, but undici treats a reset as a normal end, too.
 */
 import type {Dispatcher} from 'undici';
 import buildConnector from 'undici/lib/core/connect.js';
@@ -13,7 +13,7 @@
 
 type Handler = Required<Dispatcher.DispatchHandler>;
 
-/** Passes an answer on, and its end where it was one. */
+/** Forwards a response to the next handler, and turns the end of an unframed response into an error if the connection was reset. */
 class EndJudge implements Dispatcher.DispatchHandler {
 	readonly #next: Dispatcher.DispatchHandler;
 	readonly #method: string;
@@ -34,7 +34,7 @@
 		this.#next.onRequestUpgrade?.(...args);
 	}
 
-	// Comes once more for each interim head before the answer's own.
+	// Also called for each interim (1xx) response before the final one.
 	onResponseStart(...args: Parameters<Handler['onResponseStart']>): void {
 		const [, status, headers] = args;
 		this.#isFramed = this.#method === 'HEAD' || bodilessStatuses.has(status)
@@ -68,11 +68,11 @@
 	}
 }
 
-/** Carries one request at a time. */
+/** A client whose connection carries one request at a time. */
 export class WatchedClient extends Client {
 	readonly #watch: SocketWatch;
 
-	/** @param options - Undici's; a socket has to stay writable after the other end has closed (`allowHalfOpen`), so that it can be asked whether it was reset. */
+	/** @param options - Options of undici. The socket must stay writable after the server has closed its side (`allowHalfOpen`), so that a reset can be detected. */
 	constructor(url: string | URL, {connect, ...options}: NonNullable<Options> = {}) {
 		const watch = new SocketWatch();
 		const connector = typeof connect === 'function' ? connect : buildConnector(connect);
