--- a/src/io/datagram-channel.ts
+++ b/src/io/datagram-channel.ts
@@ -17,7 +17,7 @@
 /** Close to the largest payload that UDP carries. The network layer fragments large datagrams, and one lost fragment loses the complete datagram. */
 const maxDatagramBytes = 65_000;
 
-const parsed = (bytes: Buffer): unknown => {
+const parseJson = (bytes: Buffer): unknown => {
 	try {
 		return JSON.parse(bytes.toString('utf8'));
 	} catch {
@@ -30,7 +30,7 @@
 	readonly #socket: Socket = createSocket('udp4');
 	readonly #handlers: Readonly<Record<string, NotificationHandler>>;
 	#address = '';
-	#refused = 0;
+	#rejectedCount = 0;
 
 	/** @param handlers - Handlers by method name. */
 	constructor(handlers: Readonly<Record<string, NotificationHandler>>) {
@@ -47,7 +47,7 @@
 
 	/** Number of datagrams rejected: received ones that are not a valid notification of a known method, and outgoing ones above the size limit. */
 	get refused(): number {
-		return this.#refused;
+		return this.#rejectedCount;
 	}
 
 	/** @param address - `ip:port`; port 0 selects any free port. */
@@ -75,14 +75,14 @@
 
 		const bytes = Buffer.from(JSON.stringify(createJSONRPCNotification(method, params)));
 		if (bytes.length > maxDatagramBytes) {
-			this.#refused += 1;
+			this.#rejectedCount += 1;
 			return;
 		}
 
 		addresses.forEach(address => {
-			const to = parseAddress(address);
-			if (to) {
-				this.#socket.send(bytes, to.port, to.host, () => undefined);
+			const target = parseAddress(address);
+			if (target) {
+				this.#socket.send(bytes, target.port, target.host, () => undefined);
 			}
 		});
 	}
@@ -92,11 +92,11 @@
 	}
 
 	#receive(bytes: Buffer) {
-		const message = parsed(bytes);
+		const message = parseJson(bytes);
 		const method = isJSONRPCRequest(message) ? message.method : '';
 		const params: unknown = isJSONRPCRequest(message) ? message.params : undefined;
 		if (!this.#handlers[method] || messageValidators[method]?.(params) !== true) {
-			this.#refused += 1;
+			this.#rejectedCount += 1;
 			return;
 		}
 
--- a/src/io/dial.feature
+++ b/src/io/dial.feature
@@ -1,20 +1,20 @@
-Feature: Whether a connection can be made
-  What can be connected to is alive; a wrong word sends calls away from a replica that serves, or to one that is gone.
+Feature: TCP connection check
+  A process that accepts connections counts as alive. A wrong result would route calls away from a replica that serves, or to one that has terminated.
 
-  Scenario: Somebody listens
+  Scenario: A listening process
     Given a listener
-    Then a connection to it can be made
+    Then a connection to it can be established
 
-  Scenario: The process is gone
-    # Its VM answers that nobody listens there.
+  Scenario: A terminated process
+    # Its VM refuses the connection.
     Given a listener
-    When it ends
-    Then no connection to it can be made
+    When the listener is closed
+    Then no connection to it can be established
 
-  Scenario: This process stands still while the connection is made
-    # The time is over when this process goes on, and the connection has long been made: it counts.
+  Scenario: This process is paused while the connection is established
+    # The timeout has expired when this process resumes, but the connection was established in time, so it counts.
     Given a listener
-    Then a connection to it can be made within 1 ms though this process is paused for 50 ms
+    Then a connection to it can be established within 1 ms though this process is paused for 50 ms
 
-  Scenario: What is no address is nobody
-    Then no connection to "nowhere" can be made
+  Scenario: A malformed address
+    Then no connection to "nowhere" can be established
--- a/src/io/dial.steps.ts
+++ b/src/io/dial.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for dialling.
+Steps for the TCP connection check.
 */
 import assert from 'node:assert/strict';
 import {createServer, type AddressInfo, type Server} from 'node:net';
@@ -13,8 +13,8 @@
 	address: string;
 };
 
-/** Longer than any connection on loopback takes, in milliseconds. */
-const longMs = 10_000;
+/** Connect timeout in milliseconds; longer than any connection on loopback takes. */
+const timeoutMs = 10_000;
 
 Given('a listener', async function (this: DialWorld) {
 	this.server = createServer(socket => {
@@ -32,26 +32,26 @@
 	this.address = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
 });
 
-When('it ends', async function (this: DialWorld) {
+When('the listener is closed', async function (this: DialWorld) {
 	await new Promise(resolve => {
 		this.server.close(resolve);
 	});
 });
 
-Then('a connection to it can be made', async function (this: DialWorld) {
-	assert.equal(await dial(this.address, longMs), true);
+Then('a connection to it can be established', async function (this: DialWorld) {
+	assert.equal(await dial(this.address, timeoutMs), true);
 });
 
-Then('no connection to it can be made', async function (this: DialWorld) {
-	assert.equal(await dial(this.address, longMs), false);
+Then('no connection to it can be established', async function (this: DialWorld) {
+	assert.equal(await dial(this.address, timeoutMs), false);
 });
 
-Then('a connection to it can be made within {int} ms though this process is paused for {int} ms', async function (this: DialWorld, limitMs: number, stillMs: number) {
+Then('a connection to it can be established within {int} ms though this process is paused for {int} ms', async function (this: DialWorld, limitMs: number, pauseMs: number) {
 	const dialled = dial(this.address, limitMs);
-	pauseProcess(stillMs);
+	pauseProcess(pauseMs);
 	assert.equal(await dialled, true);
 });
 
-Then('no connection to {string} can be made', async (address: string) => {
-	assert.equal(await dial(address, longMs), false);
+Then('no connection to {string} can be established', async (address: string) => {
+	assert.equal(await dial(address, timeoutMs), false);
 });
--- a/src/io/dial.ts
+++ b/src/io/dial.ts
@@ -4,18 +4,18 @@
 import {connect} from 'node:net';
 import {parseAddress, type Address} from './address.js';
 
-const connectWithin = async (target: Address, limitMs: number): Promise<boolean> => new Promise(resolve => {
+const connectWithin = async (target: Address, timeoutMs: number): Promise<boolean> => new Promise(resolve => {
 	const socket = connect(target);
-	const finish = (isMade: boolean) => {
+	const finish = (isConnected: boolean) => {
 		clearTimeout(timer);
 		socket.destroy();
-		resolve(isMade);
+		resolve(isConnected);
 	};
 
 	const timer = setTimeout(() => {
 		// After a pause of this process the connection may already be established without its event having been processed, since timers run before sockets. By the next turn of the event loop it has been processed.
 		setImmediate(finish, false);
-	}, limitMs);
+	}, timeoutMs);
 	socket.once('connect', () => {
 		finish(true);
 	});
@@ -28,10 +28,10 @@
 Opens a connection and closes it immediately.
 
 @param address - `ip:port`.
-@param limitMs - Connect timeout in milliseconds.
+@param timeoutMs - Connect timeout in milliseconds.
 @returns Whether the connection was established in time; `false` for a malformed address. Never rejects.
 */
-export const dial = async (address: string, limitMs: number): Promise<boolean> => {
+export const dial = async (address: string, timeoutMs: number): Promise<boolean> => {
 	const target = parseAddress(address);
-	return target !== undefined && connectWithin(target, limitMs);
+	return target !== undefined && connectWithin(target, timeoutMs);
 };
--- a/src/io/http-client.feature
+++ b/src/io/http-client.feature
@@ -1,12 +1,13 @@
-Feature: "Not sent" is said only of what was not sent
+Feature: Classification of failed requests and timeouts of the HTTP client
 
-  A request is under way on a connection when a router reports the host unreachable. The same error
-  code means "no connection was made" for a new one. Taken for that, the entry would say "not run"
-  of a request that the backend server may have run, or send it to a second one.
+  A request is in progress on a connection when a router reports the host unreachable. During a
+  connection attempt the same error code means that nothing was sent. If the two were confused, the
+  entry would report "not run" for a request that the backend server may have run, or send it to a
+  second one.
 
   Scenario Outline: <error> is <verdict>
     When a request fails with code "<code>" in the system call "<syscall>"
-    Then it counts as <verdict>
+    Then it is classified as <verdict>
 
     Examples:
       | error                                 | code                    | syscall | verdict       |
@@ -18,42 +19,42 @@
       | a reset connection                    | ECONNRESET              | read    | possibly sent |
       | a closed connection                   | UND_ERR_SOCKET          |         | possibly sent |
 
-  Scenario: This process is paused until the time for an answer is over, and the answer has come
-    # Guards against requests that are given up although their answers have come: timers run before sockets.
-    Given a server after whose answer this process is paused for 1200 ms
-    When a request is sent to it that may take 1000 ms
-    Then the request is answered with "ok"
-
-  Scenario: This process is paused until the caller's own limit is over, and the answer has come
-    # Guards against the same where a limit is given as a signal.
-    Given a server after whose answer this process is paused for 1200 ms
-    When a request is sent to it that may take 10000 ms, under a limit of 1000 ms
-    Then the request is answered with "ok"
-
-  Scenario: This process is paused until the caller's own limit is over, and the rest of the answer has come
-    # Guards against the same for an answer of which a part was read before.
-    Given a server after the second half of whose answer this process is paused for 1200 ms
-    When a request is sent to it that may take 10000 ms, under a limit of 1000 ms
-    Then the request is answered with "ok"
-
-  Scenario: This process is paused, and the answer comes soon after
-    # Guards against requests that are given up for a pause of this process, with an answer that takes some turns more.
-    Given a server that answers 50 ms after this process was paused for 600 ms
-    When a request is sent to it that may take 400 ms
-    Then the request is answered with "ok"
-
-  Scenario: This process is paused, and the rest of the answer comes soon after
-    # Guards against the same within the answer.
-    Given a server that answers the second half 50 ms after this process was paused for 600 ms
-    When a request is sent to it that may take 10000 ms, and 400 ms for the whole answer
-    Then the request is answered with "ok"
-
-  Scenario: A server that answers only in part
-    Given a server that answers only the first half
-    When a request is sent to it that may take 10000 ms, and 400 ms for the whole answer
-    Then the request has no whole answer
-
-  Scenario: A server that does not answer, under a limit
-    Given a server that never answers
-    When a request is sent to it that may take 10000 ms, under a limit of 30 ms
+  Scenario: This process is paused beyond the timeout, and the response has arrived
+    # Guards against timing out a request whose response has arrived: after a pause, timers run before sockets.
+    Given a server that pauses this process for 1200 ms after its response
+    When a request is sent to it with a timeout of 1000 ms
+    Then the response text is "ok"
+
+  Scenario: This process is paused beyond the time limit of the abort signal, and the response has arrived
+    # Guards against the same failure when the time limit is an abort signal.
+    Given a server that pauses this process for 1200 ms after its response
+    When a request is sent to it with a timeout of 10000 ms and an abort signal of 1000 ms
+    Then the response text is "ok"
+
+  Scenario: This process is paused beyond the time limit of the abort signal, and the rest of the response has arrived
+    # Guards against the same failure for a response of which a part was read before.
+    Given a server that pauses this process for 1200 ms after the second half of its response
+    When a request is sent to it with a timeout of 10000 ms and an abort signal of 1000 ms
+    Then the response text is "ok"
+
+  Scenario: This process is paused, and the response arrives soon after
+    # Guards against timing out because of a pause of this process when the response needs some more turns of the event loop.
+    Given a server that responds 50 ms after this process was paused for 600 ms
+    When a request is sent to it with a timeout of 400 ms
+    Then the response text is "ok"
+
+  Scenario: This process is paused, and the rest of the response arrives soon after
+    # Guards against the same failure within a response.
+    Given a server that sends the second half of its response 50 ms after this process was paused for 600 ms
+    When a request is sent to it with a timeout of 10000 ms, and 400 ms for the complete response
+    Then the response text is "ok"
+
+  Scenario: An incomplete response
+    Given a server that sends only the first half of its response
+    When a request is sent to it with a timeout of 10000 ms, and 400 ms for the complete response
+    Then the response is aborted before it is complete
+
+  Scenario: An unresponsive server and an abort signal with a time limit
+    Given a server that never responds
+    When a request is sent to it with a timeout of 10000 ms and an abort signal of 30 ms
     Then the request is aborted
--- a/src/io/http-client.steps.ts
+++ b/src/io/http-client.steps.ts
@@ -18,15 +18,15 @@
 	this.notSent = isBeforeSending(err);
 });
 
-Then('it counts as not sent', function (this: FailureWorld) {
+Then('it is classified as not sent', function (this: FailureWorld) {
 	assert.equal(this.notSent, true);
 });
 
-Then('it counts as possibly sent', function (this: FailureWorld) {
+Then('it is classified as possibly sent', function (this: FailureWorld) {
 	assert.equal(this.notSent, false);
 });
 
-/** Pauses this process as soon as the operating system has the whole answer. */
+/** Pauses this process as soon as the complete response has been handed to the operating system. */
 const endAndPause = (world: AnswerWorld, res: ServerResponse, text: string, ms: number) => {
 	res.end(text, () => {
 		assert.equal(world.isSettled, false);
@@ -34,23 +34,23 @@
 	});
 };
 
-Given('a server after whose answer this process is paused for {int} ms', async function (this: AnswerWorld, ms: number) {
+Given('a server that pauses this process for {int} ms after its response', async function (this: AnswerWorld, ms: number) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		endAndPause(this, res, 'ok', ms);
 	});
 });
 
-Given('a server after the second half of whose answer this process is paused for {int} ms', async function (this: AnswerWorld, ms: number) {
+Given('a server that pauses this process for {int} ms after the second half of its response', async function (this: AnswerWorld, ms: number) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		res.write('o');
-		void until(() => this.hasHead, 'the head was read').then(() => {
-			// Timers come next after immediates, sockets only after the timers.
+		void until(() => this.hasHead, 'the head has been read').then(() => {
+			// Timers run directly after immediates, sockets only after the timers.
 			setImmediate(endAndPause, this, res, 'k', ms);
 		});
 	});
 });
 
-Given('a server that answers {int} ms after this process was paused for {int} ms', async function (this: AnswerWorld, afterMs: number, ms: number) {
+Given('a server that responds {int} ms after this process was paused for {int} ms', async function (this: AnswerWorld, afterMs: number, ms: number) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		pauseProcess(ms);
 		setTimeout(() => {
@@ -59,10 +59,10 @@
 	});
 });
 
-Given('a server that answers the second half {int} ms after this process was paused for {int} ms', async function (this: AnswerWorld, afterMs: number, ms: number) {
+Given('a server that sends the second half of its response {int} ms after this process was paused for {int} ms', async function (this: AnswerWorld, afterMs: number, ms: number) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		res.write('o');
-		void until(() => this.hasHead, 'the head was read').then(() => {
+		void until(() => this.hasHead, 'the head has been read').then(() => {
 			pauseProcess(ms);
 			setTimeout(() => {
 				res.end('k');
@@ -71,13 +71,13 @@
 	});
 });
 
-Given('a server that answers only the first half', async function (this: AnswerWorld) {
+Given('a server that sends only the first half of its response', async function (this: AnswerWorld) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		res.write('o');
 	});
 });
 
-Given('a server that never answers', async function (this: AnswerWorld) {
+Given('a server that never responds', async function (this: AnswerWorld) {
 	this.address = await serveOnLoopback(this, () => undefined);
 });
 
@@ -94,25 +94,25 @@
 	world.isSettled = true;
 };
 
-When('a request is sent to it that may take {int} ms', async function (this: AnswerWorld, ms: number) {
+When('a request is sent to it with a timeout of {int} ms', async function (this: AnswerWorld, ms: number) {
 	await send(this, {timeoutMs: ms});
 });
 
-When('a request is sent to it that may take {int} ms, under a limit of {int} ms', async function (this: AnswerWorld, ms: number, limitMs: number) {
+When('a request is sent to it with a timeout of {int} ms and an abort signal of {int} ms', async function (this: AnswerWorld, ms: number, limitMs: number) {
 	await send(this, {timeoutMs: ms, signal: AbortSignal.timeout(limitMs)});
 });
 
-When('a request is sent to it that may take {int} ms, and {int} ms for the whole answer', async function (this: AnswerWorld, timeoutMs: number, wholeMs: number) {
+When('a request is sent to it with a timeout of {int} ms, and {int} ms for the complete response', async function (this: AnswerWorld, timeoutMs: number, wholeMs: number) {
 	await send(this, {timeoutMs, wholeMs}).catch((err: unknown) => {
 		this.bodyError = err;
 	});
 });
 
-Then('the request has no whole answer', function (this: AnswerWorld) {
+Then('the response is aborted before it is complete', function (this: AnswerWorld) {
 	assert.equal((this.bodyError as Error).name, 'AbortError');
 });
 
-Then('the request is answered with {string}', function (this: AnswerWorld, text: string) {
+Then('the response text is {string}', function (this: AnswerWorld, text: string) {
 	assert.equal(this.failure, undefined);
 	assert.equal(this.text, text);
 });
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -56,12 +56,12 @@
 const notSentCodes = new Set(['UND_ERR_CONNECT_TIMEOUT', 'UND_ERR_INVALID_ARG', 'UND_ERR_NOT_SUPPORTED']);
 
 // Errors of the operating system count only for these system calls: a "host unreachable" from a router can also close a connection on which the request was sent, and the request would then be reported as not run.
-const connectCalls = new Set(['connect', 'bind']);
+const connectSyscalls = new Set(['connect', 'bind']);
 
 /** Whether an error proves that no byte of the request was sent. */
 export const isBeforeSending = (err: unknown): boolean => {
 	const {code, syscall} = err as {code?: string; syscall?: string};
-	return notSentCodes.has(code ?? '') || connectCalls.has(syscall ?? '');
+	return notSentCodes.has(code ?? '') || connectSyscalls.has(syscall ?? '');
 };
 
 const dispatcherOptions = {
@@ -107,15 +107,15 @@
 			controller.abort();
 		};
 
-		let silent = false;
-		const giveUp = () => {
-			silent = true;
+		let isTimedOut = false;
+		const onTimeout = () => {
+			isTimedOut = true;
 			abort();
 		};
 
-		const headLimit = new TimeLimit(req.timeoutMs, giveUp);
-		const wholeLimit = req.wholeMs === undefined ? undefined : new TimeLimit(req.wholeMs, giveUp);
-		const forward = () => {
+		const headLimit = new TimeLimit(req.timeoutMs, onTimeout);
+		const responseLimit = req.wholeMs === undefined ? undefined : new TimeLimit(req.wholeMs, onTimeout);
+		const forwardAbort = () => {
 			if (isTimeLimit(req.signal)) {
 				setImmediate(abort);
 			} else {
@@ -123,7 +123,7 @@
 			}
 		};
 
-		req.signal?.addEventListener('abort', forward, {once: true});
+		req.signal?.addEventListener('abort', forwardAbort, {once: true});
 		const dispatcher = req.fresh ? new WatchedClient(`http://${req.address}`, dispatcherOptions) : this.#poolFor(req.address);
 		try {
 			const res = await request.call(dispatcher, {
@@ -134,19 +134,19 @@
 				body: req.body,
 				signal: controller.signal,
 			});
-			this.#followBody(res.body, () => {
-				wholeLimit?.dispose();
-				req.signal?.removeEventListener('abort', forward);
+			this.#watchBody(res.body, () => {
+				responseLimit?.dispose();
+				req.signal?.removeEventListener('abort', forwardAbort);
 				this.#closeFresh(req, dispatcher);
 			});
 			return Right({
 				status: res.statusCode, headers: res.headers, body: res.body, abort,
 			});
 		} catch (err) {
-			wholeLimit?.dispose();
-			req.signal?.removeEventListener('abort', forward);
+			responseLimit?.dispose();
+			req.signal?.removeEventListener('abort', forwardAbort);
 			this.#closeFresh(req, dispatcher);
-			return Left(this.#failure(err, silent, req));
+			return Left(this.#failure(err, isTimedOut, req));
 		} finally {
 			headLimit.dispose();
 		}
@@ -174,9 +174,9 @@
 	}
 
 	#poolFor(address: string): Agent {
-		const known = this.#pools.get(address);
-		if (known) {
-			return known;
+		const existing = this.#pools.get(address);
+		if (existing) {
+			return existing;
 		}
 
 		const pool = new Agent(poolOptions);
@@ -184,7 +184,7 @@
 		return pool;
 	}
 
-	#followBody(body: Readable, onClose: () => void) {
+	#watchBody(body: Readable, onClose: () => void) {
 		// Without a listener, an aborted body would raise an unhandled error and stop the process.
 		body.on('error', () => undefined);
 		body.once('close', onClose);
@@ -196,13 +196,13 @@
 		}
 	}
 
-	#failure(err: unknown, silent: boolean, req: HttpRequest): HttpFailure {
+	#failure(err: unknown, isTimedOut: boolean, req: HttpRequest): HttpFailure {
 		const code = codeOf(err);
 		if (isBeforeSending(err)) {
 			return {kind: 'notSent', reason: code};
 		}
 
-		if (silent) {
+		if (isTimedOut) {
 			return {kind: 'silent', reason: `no answer within ${req.timeoutMs} ms`};
 		}
 
--- a/src/io/http-object-api.feature
+++ b/src/io/http-object-api.feature
@@ -1,14 +1,15 @@
-Feature: What a call of the object API says about a change
+Feature: Outcome of failed calls to the object API
 
-  An operator's change, or a chunk's commit, goes out and the answer is an error, or never comes.
-  Where the change may have taken effect, the outcome is unknown: the writer reads back. Where it
-  can not have, it is unavailable: the writer may say that nothing was done.
-  Naming the first as the second would make a later "nothing was accepted" untrue.
+  A change by an operator, or the commit of a chunk, is sent, and the response is an error or never
+  arrives. If the change may have taken effect, its outcome is unknown, and the writer reads the
+  object back. If it cannot have taken effect, the outcome is unavailable, and the writer may report
+  that nothing was done. If the first were reported as the second, a later "nothing was accepted"
+  would be false.
 
-  Scenario Outline: A change that is answered with <answer> is <kind>
+  Scenario Outline: A change answered by <answer> has the outcome <kind>
     Given an object API that answers with <answer>
     When an object is created through it
-    Then the change's outcome is "<kind>"
+    Then the outcome of the change is "<kind>"
 
     Examples:
       | answer           | kind        |
@@ -21,7 +22,7 @@
       | status 412       | conflict    |
       | no listener      | unavailable |
 
-  Scenario: What answers at the address is not the object API
+  Scenario: An unrelated server at the address
     Given an object API that answers with status 200
     When a list is read from it
-    Then the read's outcome is "unavailable"
+    Then the outcome of the read is "unavailable"
--- a/src/io/http-object-api.steps.ts
+++ b/src/io/http-object-api.steps.ts
@@ -43,7 +43,7 @@
 	this.outcome = created.isLeft() ? (created.extract()).kind : 'done';
 });
 
-Then('the change\'s outcome is {string}', function (this: ApiWorld, kind: string) {
+Then('the outcome of the change is {string}', function (this: ApiWorld, kind: string) {
 	assert.equal(this.outcome, kind);
 });
 
@@ -53,6 +53,6 @@
 	this.outcome = page.isLeft() ? page.extract().kind : 'read';
 });
 
-Then('the read\'s outcome is {string}', function (this: ApiWorld, kind: string) {
+Then('the outcome of the read is {string}', function (this: ApiWorld, kind: string) {
 	assert.equal(this.outcome, kind);
 });
--- a/src/io/http-object-api.ts
+++ b/src/io/http-object-api.ts
@@ -16,12 +16,12 @@
 /** Maximum size of a value in bytes. */
 export const maxValueBytes = 1_048_576;
 
-const parsed = (text: string): unknown => text === '' ? {} : JSON.parse(text);
+const parseJson = (text: string): unknown => text === '' ? {} : JSON.parse(text);
 
 // Every response of the object API contains a version. After a VM was replaced, an unrelated server may respond at its address; such a response must not be taken for an empty list.
-const isAnswer = (answer: unknown): boolean => typeof (answer as {version?: unknown} | null)?.version === 'number';
+const hasVersion = (answer: unknown): boolean => typeof (answer as {version?: unknown} | null)?.version === 'number';
 
-const withList = <T>(answer: T, list: keyof T): Either<ApiError, T> => Array.isArray(answer[list])
+const requireList = <T>(answer: T, list: keyof T): Either<ApiError, T> => Array.isArray(answer[list])
 	? Right(answer)
 	: Left({kind: 'unavailable', reason: `an answer without ${String(list)}`});
 
@@ -29,7 +29,7 @@
 	404: () => ({kind: 'notFound'}),
 	410: () => ({kind: 'expired'}),
 	412(text) {
-		const current = parsed(text) as Partial<StoredObject>;
+		const current = parseJson(text) as Partial<StoredObject>;
 		return current.version === undefined ? {kind: 'conflict'} : {kind: 'conflict', current: current as StoredObject};
 	},
 	413: () => ({kind: 'tooLarge', limitBytes: maxValueBytes}),
@@ -71,7 +71,7 @@
 		params.set('limit', String(query.limit ?? 500));
 		params.set('values', query.values === false ? '0' : '1');
 		const page = await this.#call<ObjectPage<T>>({method: 'GET', path: `/v1/objects/${kind}?${params.toString()}`, isChange: false});
-		return page.chain(answer => withList(answer, 'items'));
+		return page.chain(answer => requireList(answer, 'items'));
 	}
 
 	async watch(kinds: readonly ObjectKind[], since: Revision, waitMs: number): Promise<Either<ApiError, WatchBatch>> {
@@ -79,7 +79,7 @@
 		const batch = await this.#call<WatchBatch>({
 			method: 'GET', path, waitMs, isChange: false,
 		});
-		return batch.chain(answer => withList(answer, 'events'));
+		return batch.chain(answer => requireList(answer, 'events'));
 	}
 
 	#path(kind: ObjectKind, name: string) {
@@ -106,8 +106,8 @@
 
 	#interpret<T>(call: ObjectApiCall, {status, text}: ObjectApiAnswer): Either<ApiError, T> {
 		if (status < 300) {
-			const answer = parsed(text);
-			return isAnswer(answer) ? Right(answer as T) : Left(failureOf(call, {kind: 'lost', reason: `status ${status} without an answer`}));
+			const answer = parseJson(text);
+			return hasVersion(answer) ? Right(answer as T) : Left(failureOf(call, {kind: 'lost', reason: `status ${status} without an answer`}));
 		}
 
 		const toError = errorsByStatus[status];
--- a/src/io/http-server.ts
+++ b/src/io/http-server.ts
@@ -112,15 +112,15 @@
 		}
 
 		const url = this.#parseUrl(req);
-		const fitting = url ? this.#routes.filter(route => route.pattern.test(url.pathname)) : [];
-		const route = fitting.find(candidate => candidate.method === '*' || candidate.method === req.method);
-		if (!url || fitting.length === 0) {
+		const matchingRoutes = url ? this.#routes.filter(route => route.pattern.test(url.pathname)) : [];
+		const route = matchingRoutes.find(candidate => candidate.method === '*' || candidate.method === req.method);
+		if (!url || matchingRoutes.length === 0) {
 			this.#fallbacks.notFound(req, res);
 			return;
 		}
 
 		if (!route) {
-			this.#fallbacks.wrongMethod(req, res, fitting.map(candidate => candidate.method));
+			this.#fallbacks.wrongMethod(req, res, matchingRoutes.map(candidate => candidate.method));
 			return;
 		}
 
--- a/src/io/jsonc-document.ts
+++ b/src/io/jsonc-document.ts
@@ -7,11 +7,11 @@
 	findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode, type JSONPath, type Node, type ParseError,
 } from 'jsonc-parser';
 import {type ZodType} from 'zod';
-import {plainMessages, type PlainIssue} from './schema-messages.js';
-import {wholeFile, type SettingsError, type SettingsProblem} from './settings-error.js';
+import {readableIssues, type ReadableIssue} from './schema-messages.js';
+import {entireFile, type SettingsError, type SettingsProblem} from './settings-error.js';
 
 /** Messages for read errors by error code. */
-const readErrors: Readonly<Record<string, string>> = {
+const readErrorMessages: Readonly<Record<string, string>> = {
 	ENOENT: 'there is no such file',
 	EACCES: 'may not be read',
 	EISDIR: 'is a directory, not a file',
@@ -44,7 +44,7 @@
 			return JsoncDocument.parse(readFileSync(file, 'utf8'), file);
 		} catch (err) {
 			const {code, message} = err as NodeJS.ErrnoException;
-			return Left({kind: 'unreadable', file, reason: readErrors[code ?? ''] ?? message});
+			return Left({kind: 'unreadable', file, reason: readErrorMessages[code ?? ''] ?? message});
 		}
 	}
 
@@ -59,14 +59,14 @@
 		const root = parseTree(text, errors, {allowTrailingComma: true});
 		const problems = errors.map(({error, offset}) => {
 			const code = printParseErrorCode(error);
-			return problemAt(source, offset, wholeFile, `syntax error: ${syntaxMessages[code] ?? code}`);
+			return problemAt(source, offset, entireFile, `syntax error: ${syntaxMessages[code] ?? code}`);
 		});
 		if (root === undefined || problems.length > 0) {
-			return Left({kind: 'invalid', problems: problems.length > 0 ? problems : [problemAt(source, 0, wholeFile, 'the file is empty')]});
+			return Left({kind: 'invalid', problems: problems.length > 0 ? problems : [problemAt(source, 0, entireFile, 'the file is empty')]});
 		}
 
-		const repeated = repeatedKeys(root).map(({offset, key}) => problemAt(source, offset, key, 'stands twice in the same object'));
-		return repeated.length > 0 ? Left({kind: 'invalid', problems: repeated}) : Right(new JsoncDocument(source, root));
+		const duplicateKeys = findDuplicateKeys(root).map(({offset, key}) => problemAt(source, offset, key, 'stands twice in the same object'));
+		return duplicateKeys.length > 0 ? Left({kind: 'invalid', problems: duplicateKeys}) : Right(new JsoncDocument(source, root));
 	}
 
 	readonly #source: Source;
@@ -97,7 +97,7 @@
 		}
 
 		const problems = checked.error.issues
-			.flatMap(issue => plainMessages(issue, this.#valueAt(path)))
+			.flatMap(issue => readableIssues(issue, this.#valueAt(path)))
 			.map(issue => this.#problem(issue, path))
 			.toSorted((a, b) => a.line - b.line || a.column - b.column);
 		return Left({kind: 'invalid', problems});
@@ -119,10 +119,10 @@
 		};
 	}
 
-	#problem({path, message}: PlainIssue, prefix: JSONPath): SettingsProblem {
-		const whole = [...prefix, ...path];
-		const key = keyOf(whole);
-		return problemAt(this.#source, this.#offset(whole), key, message);
+	#problem({path, message}: ReadableIssue, prefix: JSONPath): SettingsProblem {
+		const fullPath = [...prefix, ...path];
+		const key = keyOf(fullPath);
+		return problemAt(this.#source, this.#offset(fullPath), key, message);
 	}
 
 	/** Returns the offset of an existing key, or, for a missing key, the offset of its nearest existing ancestor. */
@@ -137,25 +137,25 @@
 }
 
 const keyOf = (path: JSONPath): string => path.length === 0
-	? wholeFile
+	? entireFile
 	: path.map((part, i) => typeof part === 'number' ? `[${part}]` : `${i === 0 ? '' : '.'}${part}`).join('');
 
 /** Name and content of a file. */
 type Source = {readonly file: string; readonly text: string};
 
 const problemAt = ({file, text}: Source, offset: number, key: string, message: string): SettingsProblem => {
-	const before = text.slice(0, offset).split('\n');
+	const precedingLines = text.slice(0, offset).split('\n');
 	return {
-		file, line: before.length, column: (before.at(-1)?.length ?? 0) + 1, key, message,
+		file, line: precedingLines.length, column: (precedingLines.at(-1)?.length ?? 0) + 1, key, message,
 	};
 };
 
 /** Finds duplicate keys. JSON parsers silently retain the last of two equal keys, so the first value of the operator would be lost. */
-const repeatedKeys = (node: Node): ReadonlyArray<{offset: number; key: string}> => {
+const findDuplicateKeys = (node: Node): ReadonlyArray<{offset: number; key: string}> => {
 	const children = node.children ?? [];
 	const keys = node.type === 'object' ? children.map(property => String(property.children?.[0]?.value)) : [];
-	const own = children
+	const duplicates = children
 		.map(({offset}, i) => ({offset, key: keys[i] ?? ''}))
 		.filter(({key}, i) => node.type === 'object' && keys.indexOf(key) < i);
-	return [...own, ...children.flatMap(repeatedKeys)];
+	return [...duplicates, ...children.flatMap(findDuplicateKeys)];
 };
--- a/src/io/jsonl-trace.ts
+++ b/src/io/jsonl-trace.ts
@@ -9,13 +9,13 @@
 import type {StartError} from './program.js';
 
 /** Number of bytes buffered before a write. */
-const gatheredBytes = 65_536;
+const bufferBytes = 65_536;
 
 // JSON has no infinities; minus infinity is the last-seen time of a replica from which no message has been received.
-const plain = (_key: string, value: unknown) => value === Number.NEGATIVE_INFINITY ? null : value;
+const replaceInfinity = (_key: string, value: unknown) => value === Number.NEGATIVE_INFINITY ? null : value;
 
 /** Serialises a decision as a line of a trace, without the line break. */
-export const traceLine = (decision: DecisionRecord): string => JSON.stringify(decision, plain);
+export const traceLine = (decision: DecisionRecord): string => JSON.stringify(decision, replaceInfinity);
 
 /** A decision trace in a file. */
 export class JsonlTrace implements DecisionTrace, Disposable {
@@ -23,7 +23,7 @@
 	static open(file: string): Either<StartError, JsonlTrace> {
 		try {
 			return Right(new JsonlTrace(pino.destination({
-				dest: file, append: true, sync: true, minLength: gatheredBytes,
+				dest: file, append: true, sync: true, minLength: bufferBytes,
 			})));
 		} catch (err) {
 			return Left({exitCode: exitCodes.unavailable, message: `the trace can not be written: ${(err as Error).message}`});
--- a/src/io/malformed-messages.feature
+++ b/src/io/malformed-messages.feature
@@ -1,12 +1,12 @@
-Feature: Malformed messages and lists are refused where they come in
-  A process of another version at a peer's address sends a message whose fields are missing, or the VM list answers with something else.
-  Taken over, it would break a process later, when another node's question makes it read what it kept.
-  A message is answered as invalid and changes nothing; a list is not taken, and the one before stands.
+Feature: Malformed messages and VM lists are rejected on receipt
+  A process of another version at the address of a peer sends a message with missing fields, or the VM list returns unrelated data.
+  If it were accepted, a process would fail later, when a request of another node makes it read the stored data.
+  A malformed message is answered with an error and changes nothing; a malformed list is rejected, and the previous one remains in use.
 
-  Scenario Outline: A message: <method> with <params>
+  Scenario Outline: A malformed message: <method> with <params>
     Given a node that offers "<method>"
     When it is called with '<params>'
-    Then the call is refused and the method was not run
+    Then the call is rejected and the method was not run
 
     Examples:
       | method         | params                                                       |
@@ -15,14 +15,14 @@
       | batch.renew    | {"shard":"0","fence":null,"round":1,"expiresInMs":1,"keep":[]} |
       | attempt.cancel | {"key":null}                                                 |
 
-  Scenario: A whole message
+  Scenario: A valid message
     Given a node that offers "config.changes"
     When it is called with '{"node":"x","since":0,"waitMs":0,"counts":[{"version":1,"nodes":1}]}'
     Then the method was run
 
-  Scenario Outline: A VM list: <body>
-    When the VM list answers '<body>'
-    Then the list counts as not read
+  Scenario Outline: A malformed VM list: <body>
+    When the VM list returns '<body>'
+    Then reading the list fails
 
     Examples:
       | body                                                  |
--- a/src/io/malformed-messages.steps.ts
+++ b/src/io/malformed-messages.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for malformed messages and VM lists.
+Steps for the validation of RPC messages and VM lists.
 */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -47,7 +47,7 @@
 	this.answer = await rpc.call({address: this.address, timeoutMs}, this.method, JSON.parse(params) as object);
 });
 
-When('the VM list answers {string}', async function (this: MessageWorld, body: string) {
+When('the VM list returns {string}', async function (this: MessageWorld, body: string) {
 	await serve(this, {
 		method: 'GET',
 		pattern: /^\/v1\/vms$/v,
@@ -58,7 +58,7 @@
 	this.answer = await new HttpVmList(this.register(new HttpClient()), this.address, timeoutMs).read();
 });
 
-Then('the call is refused and the method was not run', function (this: MessageWorld) {
+Then('the call is rejected and the method was not run', function (this: MessageWorld) {
 	assert.ok(this.answer.isLeft());
 	assert.equal(this.runs, 0);
 });
@@ -68,6 +68,6 @@
 	assert.equal(this.runs, 1);
 });
 
-Then('the list counts as not read', function (this: MessageWorld) {
+Then('reading the list fails', function (this: MessageWorld) {
 	assert.ok(this.answer.isLeft());
 });
--- a/src/io/pino-event-log.ts
+++ b/src/io/pino-event-log.ts
@@ -23,22 +23,22 @@
 /**
 Maximum number of buffered bytes. A reader that stops reading standard output must neither delay requests nor exhaust the memory of this process: writing is asynchronous, and lines beyond this limit are dropped.
 */
-const waitingLimitBytes = 2_000_000;
+const maxBufferedBytes = 2_000_000;
 
 /** An {@link EventLog} based on pino. */
 export class PinoEventLog implements EventLog {
 	readonly #logger: Logger;
 	readonly #stdout: ReturnType<typeof pino.destination> | undefined;
-	#hasWaiting = false;
+	#hasPendingLines = false;
 	#dropped = 0;
-	#droppedTold = 0;
+	#reportedDropped = 0;
 
 	constructor({program, node, level, destination}: EventLogOptions) {
-		const stdout = destination ? undefined : pino.destination({fd: 1, sync: false, maxLength: waitingLimitBytes});
+		const stdout = destination ? undefined : pino.destination({fd: 1, sync: false, maxLength: maxBufferedBytes});
 		this.#stdout = stdout;
 		stdout?.on('drain', () => {
-			this.#hasWaiting = false;
-			this.#tellDropped();
+			this.#hasPendingLines = false;
+			this.#reportDropped();
 		});
 		stdout?.on('drop', () => {
 			this.#dropped += 1;
@@ -62,7 +62,7 @@
 	}
 
 	emit({number, level, text}: EventDefinition, fields?: LogFields): void {
-		this.#hasWaiting = this.#logger.isLevelEnabled(level) || this.#hasWaiting;
+		this.#hasPendingLines = this.#logger.isLevelEnabled(level) || this.#hasPendingLines;
 		this.#logger[level]({event: number, ...fields}, text);
 	}
 
@@ -72,7 +72,7 @@
 	The synchronous flush of the library is no substitute: it overtakes a write in progress in another thread, so that the last events would appear in the log before those that caused them.
 	*/
 	async written(limitMs: number): Promise<void> {
-		if (!this.#hasWaiting || !this.#stdout) {
+		if (!this.#hasPendingLines || !this.#stdout) {
 			return;
 		}
 
@@ -85,10 +85,10 @@
 	}
 
 	/** Logs the number of dropped lines, so that a gap in the log is not mistaken for a process without activity. */
-	#tellDropped() {
-		const lines = this.#dropped - this.#droppedTold;
+	#reportDropped() {
+		const lines = this.#dropped - this.#reportedDropped;
 		if (lines > 0) {
-			this.#droppedTold = this.#dropped;
+			this.#reportedDropped = this.#dropped;
 			this.emit(platformEvents.linesDropped, {lines, sinceStart: this.#dropped});
 		}
 	}
--- a/src/io/program-run.ts
+++ b/src/io/program-run.ts
@@ -21,7 +21,7 @@
 	readonly #services: OwnedServices;
 	#running: RunningProgram | undefined;
 	#stopping = false;
-	#broken = false;
+	#hasFatalError = false;
 	#reload: SettingsReload<CommonSettings> | undefined;
 	/** Keeps the event loop alive until the daemon is stopped, also while only unreferenced timers, such as those of a retry, are pending. */
 	readonly #keepAlive = setInterval(() => undefined, keepAliveMs);
@@ -36,14 +36,14 @@
 	}
 
 	/** Installs the handlers for uncaught errors and stop signals. Must be called before the program starts. */
-	guard(): void {
+	installHandlers(): void {
 		// After an unexpected error the state in memory cannot be trusted: continuing could answer a caller twice or with the response
 		// of another caller. Peers detect the exit immediately and recover the requests of the process, as after a crash.
 		process.on('uncaughtException', err => {
-			this.#breakDown(err);
+			this.#handleFatalError(err);
 		});
 		process.on('unhandledRejection', reason => {
-			this.#breakDown(reason);
+			this.#handleFatalError(reason);
 		});
 		stopSignals.forEach(signal => {
 			process.on(signal, this.#onSignal);
@@ -68,7 +68,7 @@
 	}
 
 	/** @param running - The program that has started. */
-	follow(running: RunningProgram): void {
+	setRunning(running: RunningProgram): void {
 		this.#running = running;
 		this.#services.log.emit(platformEvents.programStarted, {version, pid: process.pid, addresses: running.addresses ?? {}});
 		// A signal received during the start was only recorded.
@@ -82,7 +82,7 @@
 
 	Resources that the program created before it failed, such as a timer, would otherwise keep the process alive: its supervisor would see a running program that serves nobody, and never restart it.
 	*/
-	async abandon(code: ExitCode): Promise<void> {
+	async exitAfterFailedStart(code: ExitCode): Promise<void> {
 		await this.#exit(code);
 	}
 
@@ -117,14 +117,14 @@
 		await this.#exit(exitCodes.ok);
 	}
 
-	#breakDown(reason: unknown): void {
+	#handleFatalError(reason: unknown): void {
 		const {message, stack} = reason instanceof Error ? reason : new Error(String(reason));
 		this.#services.log.emit(platformEvents.invariantBroken, {reason: message, stack});
-		const wasBroken = this.#broken;
-		this.#broken = true;
+		const hadFatalError = this.#hasFatalError;
+		this.#hasFatalError = true;
 		// If disposing fails as well, the process exits without it.
-		if (wasBroken) {
-			this.#leave(exitCodes.brokenInvariant);
+		if (hadFatalError) {
+			this.#terminate(exitCodes.brokenInvariant);
 		} else {
 			void this.#exit(exitCodes.brokenInvariant);
 		}
@@ -133,11 +133,11 @@
 	/** Disposes of the program before the log is flushed, so that no pending work reaches a caller during the flush. */
 	async #exit(code: ExitCode): Promise<void> {
 		await this.dispose();
-		this.#leave(code);
+		this.#terminate(code);
 	}
 
 	/** Exits explicitly: a socket or timer that was not closed would keep the process alive after its shutdown. */
-	#leave(code: ExitCode): void {
+	#terminate(code: ExitCode): void {
 		// eslint-disable-next-line unicorn/no-process-exit -- the frame decides when a program exits.
 		process.exit(code);
 	}
--- a/src/io/program.feature
+++ b/src/io/program.feature
@@ -1,61 +1,61 @@
-Feature: The life of a daemon
+Feature: Lifecycle of a daemon
   A supervisor starts a program, stops it with SIGTERM and reads its exit code.
-  A planned stop lets work in hand finish; a broken invariant stops the process at once,
-  since with a state that cannot be trusted it might answer a caller twice.
+  A planned stop lets work in progress finish. A violated invariant stops the process immediately,
+  since with a corrupt state it might answer a caller twice.
 
-  Scenario: A planned stop finishes the work in hand
+  Scenario: A planned stop finishes work in progress
     Given a daemon that "drains" has started
-    When the daemon gets "SIGTERM"
+    When the daemon receives "SIGTERM"
     Then the daemon printed "work done" and exited with 0
     And the daemon logged events "100, 101, 102"
 
-  Scenario: Settings are read again
-    # An operator edits the file and sends SIGHUP. Without a listener the signal would end the process.
+  Scenario: Settings are reloaded
+    # An operator edits the file and sends SIGHUP. Without a listener the signal would terminate the process.
     Given a daemon that "drains" has started
-    When the daemon's settings are changed to "debug" and it gets "SIGHUP"
-    And the daemon gets "SIGTERM" once event 106 is logged
+    When the settings of the daemon are changed to "debug" and it receives "SIGHUP"
+    And the daemon receives "SIGTERM" once event 106 is logged
     Then the daemon printed "work done" and exited with 0
     And the daemon logged events "100, 106, 101, 102"
 
-  Scenario: Wrong settings change nothing
+  Scenario: Invalid settings are rejected
     Given a daemon that "drains" has started
-    When the daemon's settings are changed to "nonsense" and it gets "SIGHUP"
-    And the daemon gets "SIGTERM" once event 107 is logged
+    When the settings of the daemon are changed to "nonsense" and it receives "SIGHUP"
+    And the daemon receives "SIGTERM" once event 107 is logged
     Then the daemon printed "work done" and exited with 0
     And the daemon logged events "100, 107, 101, 102"
 
-  Scenario: Lines that nobody reads in time are dropped and counted
-    # The reader of the log stalls. Lines wait in memory up to a bound, then they are dropped: neither may the process
-    # wait for the reader, nor may a gap look like silence.
+  Scenario: Log lines are dropped and counted when the reader is too slow
+    # The reader of the log stalls. Lines are buffered in memory up to a limit, then they are dropped: the process must
+    # not wait for the reader, and a gap in the log must not look like a process without activity.
     Given a daemon that "floods" has started
-    When the daemon gets "SIGTERM" once event 108 is logged
+    When the daemon receives "SIGTERM" once event 108 is logged
     Then the daemon printed "work done" and exited with 0
-    And the 40000 lines of the flood are logged or counted as dropped
+    And all 40000 lines are logged or counted as dropped
 
-  Scenario: A second signal cuts the shutdown short
+  Scenario: A second signal interrupts the graceful shutdown
     Given a daemon that "hangs" has started
-    When the daemon gets "SIGTERM"
-    And the daemon gets "SIGINT" once event 101 is logged
+    When the daemon receives "SIGTERM"
+    And the daemon receives "SIGINT" once event 101 is logged
     Then the daemon exited with 0
     And the daemon logged events "100, 101, 105"
 
-  Scenario: A broken invariant stops the process
+  Scenario: A violated invariant stops the process
     Given a daemon that "breaks" has started
-    When the daemon gets "SIGTERM"
+    When the daemon receives "SIGTERM"
     Then the daemon exited with 70
     And the daemon logged events "100, 101, 104"
 
-  Scenario: A daemon that cannot start says why
+  Scenario: A daemon that cannot start reports the reason
     When a daemon that "cannotStart" is started
     Then the daemon exited with 69
-    And the daemon told "sample-program: 127.0.0.1:0 is taken"
+    And the daemon reported "sample-program: 127.0.0.1:0 is taken"
 
-  Scenario: A check of the settings starts nothing
+  Scenario: The settings check does not start the daemon
     When a daemon that "drains" is started with "--check"
     Then the daemon exited with 0
     And the daemon logged nothing
 
-  Scenario: A wrong command line
+  Scenario: An invalid command line
     When a daemon that "drains" is started with "--nonsense"
     Then the daemon exited with 64
-    And the daemon told "Unknown option: --nonsense"
+    And the daemon reported "Unknown option: --nonsense"
--- a/src/io/program.steps.ts
+++ b/src/io/program.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for the life of a daemon. They run the sample program in its own process.
+Steps for the lifecycle of a daemon. They run the sample program in its own process.
 */
 import assert from 'node:assert/strict';
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
@@ -49,18 +49,18 @@
 	await startDaemon(this, behaviour, [flag]);
 });
 
-When('the daemon gets {string}', function (this: ProgramWorld, signal: NodeJS.Signals) {
+When('the daemon receives {string}', function (this: ProgramWorld, signal: NodeJS.Signals) {
 	this.daemon.signal(signal);
 });
 
-When('the daemon\'s settings are changed to {string} and it gets {string}', async function (this: ProgramWorld, logLevel: string, signal: NodeJS.Signals) {
+When('the settings of the daemon are changed to {string} and it receives {string}', async function (this: ProgramWorld, logLevel: string, signal: NodeJS.Signals) {
 	await writeFile(this.settingsFile, JSON.stringify({
 		listen: '127.0.0.1:0', queueBytes: 0, behaviour: 'drains', logLevel,
 	}));
 	this.daemon.signal(signal);
 });
 
-When('the daemon gets {string} once event {int} is logged', async function (this: ProgramWorld, signal: NodeJS.Signals, number: number) {
+When('the daemon receives {string} once event {int} is logged', async function (this: ProgramWorld, signal: NodeJS.Signals, number: number) {
 	await eventLogged(this.daemon, number);
 	this.daemon.signal(signal);
 });
@@ -76,7 +76,7 @@
 	assert.ok(ended.stdout.includes(text), ended.stdout);
 });
 
-Then('the daemon told {string}', async function (this: ProgramWorld, text: string) {
+Then('the daemon reported {string}', async function (this: ProgramWorld, text: string) {
 	const {stderr} = await this.daemon.ended;
 	assert.ok(stderr.includes(text), stderr);
 	assert.doesNotMatch(stderr, /^\s+at /mv);
@@ -92,7 +92,7 @@
 	assert.equal(stdout, '');
 });
 
-Then('the {int} lines of the flood are logged or counted as dropped', async function (this: ProgramWorld, count: number) {
+Then('all {int} lines are logged or counted as dropped', async function (this: ProgramWorld, count: number) {
 	const {stdout} = await this.daemon.ended;
 	const lines = linesOf(stdout);
 	const dropped = lines.findLast(({event}) => event === 108)?.sinceStart ?? 0;
--- a/src/io/program.ts
+++ b/src/io/program.ts
@@ -64,31 +64,31 @@
 	readonly check?: boolean;
 };
 
-const fail = (lines: readonly string[], exitCode: ExitCode): void => {
+const reportFailure = (lines: readonly string[], exitCode: ExitCode): void => {
 	process.stderr.write(`${lines.join('\n')}\n`);
 	process.exitCode = exitCode;
 };
 
-const failSettings = (err: SettingsError): void => {
+const reportSettingsError = (err: SettingsError): void => {
 	const {lines, exitCode} = describeSettingsError(err);
-	fail(lines, exitCode);
+	reportFailure(lines, exitCode);
 };
 
 const launch = async <T extends CommonSettings>({name, start, schema}: Program<T>, settings: T, path: string): Promise<void> => {
 	setRuntimeFlags();
 	const services = createServices(name, settings);
 	const run = new ProgramRun(services);
-	run.guard();
+	run.installHandlers();
 	run.reloadFrom(path, () => loadSettings(schema, path));
 	const started = await start(settings, services);
 	started.ifRight(running => {
-		run.follow(running);
+		run.setRunning(running);
 	});
 	if (started.isLeft()) {
 		const {message, exitCode} = started.extract();
 		services.log.emit(platformEvents.startFailed, {reason: message});
-		fail([`${name}: ${message}`], exitCode);
-		await run.abandon(exitCode);
+		reportFailure([`${name}: ${message}`], exitCode);
+		await run.exitAfterFailedStart(exitCode);
 	}
 };
 
@@ -109,12 +109,12 @@
 		.example('--settings settings.jsonc')
 		.action(async ({settings: path, check}: Flags) => {
 			if (typeof path !== 'string') {
-				fail([`${name}: --settings FILE is missing`], exitCodes.usage);
+				reportFailure([`${name}: --settings FILE is missing`], exitCodes.usage);
 				return;
 			}
 
 			const loaded = loadSettings(schema, path);
-			loaded.ifLeft(failSettings);
+			loaded.ifLeft(reportSettingsError);
 			if (loaded.isRight() && !check) {
 				await launch(program, loaded.unsafeCoerce(), path);
 			}
--- a/src/io/prometheus-metrics.ts
+++ b/src/io/prometheus-metrics.ts
@@ -14,7 +14,7 @@
 type Tags = Readonly<Record<string, string>>;
 
 /** Metric names contain dots, which the exposition format does not allow. */
-const nameOf = (name: string): string => `citronyard_${name.replaceAll(/[^a-zA-Z0-9_]/gv, '_')}`;
+const prometheusName = (name: string): string => `citronyard_${name.replaceAll(/[^a-zA-Z0-9_]/gv, '_')}`;
 
 /** Retains metrics in memory. Tags must have few distinct values, since each combination is retained. */
 export class PrometheusMetrics implements Metrics, Disposable {
@@ -25,22 +25,22 @@
 	#server: Server | undefined;
 
 	count(name: string, value = 1, tags: Tags = {}): void {
-		const counter = this.#counters.get(name) ?? this.#remember(this.#counters, name, new Counter({
-			name: `${nameOf(name)}_total`, help: name, labelNames: Object.keys(tags), registers: [this.#registry],
+		const counter = this.#counters.get(name) ?? this.#store(this.#counters, name, new Counter({
+			name: `${prometheusName(name)}_total`, help: name, labelNames: Object.keys(tags), registers: [this.#registry],
 		}));
 		counter.inc(tags, value);
 	}
 
 	gauge(name: string, value: number, tags: Tags = {}): void {
-		const gauge = this.#gauges.get(name) ?? this.#remember(this.#gauges, name, new Gauge({
-			name: nameOf(name), help: name, labelNames: Object.keys(tags), registers: [this.#registry],
+		const gauge = this.#gauges.get(name) ?? this.#store(this.#gauges, name, new Gauge({
+			name: prometheusName(name), help: name, labelNames: Object.keys(tags), registers: [this.#registry],
 		}));
 		gauge.set(tags, value);
 	}
 
 	timing(name: string, ms: number, tags: Tags = {}): void {
-		const histogram = this.#histograms.get(name) ?? this.#remember(this.#histograms, name, new Histogram({
-			name: `${nameOf(name)}_ms`, help: name, labelNames: Object.keys(tags), buckets: latencyBucketsMs, registers: [this.#registry],
+		const histogram = this.#histograms.get(name) ?? this.#store(this.#histograms, name, new Histogram({
+			name: `${prometheusName(name)}_ms`, help: name, labelNames: Object.keys(tags), buckets: latencyBucketsMs, registers: [this.#registry],
 		}));
 		histogram.observe(tags, ms);
 	}
@@ -79,8 +79,8 @@
 		res.end(body);
 	}
 
-	#remember<T>(known: Map<string, T>, name: string, metric: T): T {
-		known.set(name, metric);
+	#store<T>(metrics: Map<string, T>, name: string, metric: T): T {
+		metrics.set(name, metric);
 		return metric;
 	}
 }
--- a/src/io/read-body.ts
+++ b/src/io/read-body.ts
@@ -11,7 +11,7 @@
 		| {readonly kind: 'cut'};
 
 // A sender whose connection is closed while it sends the body receives a reset instead of the rejection. Up to this many bytes above the limit are therefore read and discarded; for larger bodies reading stops.
-const drainedBytes = 67_108_864;
+const maxDiscardedBytes = 67_108_864;
 
 /**
 Reads a complete body. A limited number of bytes above the limit is read and discarded, so that the sender receives the rejection.
@@ -20,14 +20,14 @@
 @returns The body, or the failure. Never rejects.
 */
 export const readBody = async (req: IncomingMessage, limitBytes: number): Promise<Either<BodyFailure, Buffer>> => {
-	const parts: Buffer[] = [];
+	const chunks: Buffer[] = [];
 	let size = 0;
 	try {
-		for await (const part of req as AsyncIterable<Buffer>) {
-			size += part.length;
+		for await (const chunk of req as AsyncIterable<Buffer>) {
+			size += chunk.length;
 			if (size <= limitBytes) {
-				parts.push(part);
-			} else if (size > limitBytes + drainedBytes) {
+				chunks.push(chunk);
+			} else if (size > limitBytes + maxDiscardedBytes) {
 				break;
 			}
 		}
@@ -35,5 +35,5 @@
 		return Left({kind: 'cut'});
 	}
 
-	return size > limitBytes ? Left({kind: 'tooLarge', limitBytes}) : Right(Buffer.concat(parts));
+	return size > limitBytes ? Left({kind: 'tooLarge', limitBytes}) : Right(Buffer.concat(chunks));
 };
--- a/src/io/rpc-client.steps.ts
+++ b/src/io/rpc-client.steps.ts
@@ -9,7 +9,7 @@
 
 const timeoutMs = 500;
 
-Given('a process that answers calls with status {int} and {string}', async function (this: RpcWorld, status: number, body: string) {
+Given('a process that responds to calls with status {int} and {string}', async function (this: RpcWorld, status: number, body: string) {
 	this.address = await serveOnLoopback(this, (_req, res) => {
 		res.writeHead(status).end(body);
 	});
--- a/src/io/schema-messages.ts
+++ b/src/io/schema-messages.ts
@@ -4,7 +4,7 @@
 import {type core} from 'zod';
 
 /** A validation problem at a path, with a human-readable message. */
-export type PlainIssue = {
+export type ReadableIssue = {
 	readonly path: Array<string | number>;
 	readonly message: string;
 };
@@ -25,58 +25,58 @@
 };
 
 /** Formats a value for a message; lists and objects by type only, since they may be long. */
-const shown = (value: unknown): string => {
+const formatValue = (value: unknown): string => {
 	if (typeof value === 'string') {
 		return `the string ${JSON.stringify(value)}`;
 	}
 
-	return typeof value === 'object' && value !== null ? nameOf(Array.isArray(value) ? 'array' : 'object') : String(value);
+	return typeof value === 'object' && value !== null ? describeType(Array.isArray(value) ? 'array' : 'object') : String(value);
 };
 
-const nameOf = (type: string): string => typeNames[type] ?? type;
+const describeType = (type: string): string => typeNames[type] ?? type;
 
-const wanted = (expected: string, path: Array<string | number>): string => {
+const describeExpected = (expected: string, path: Array<string | number>): string => {
 	const key = String(path.at(-1) ?? '');
 	const unit = units.find(([ending]) => key.endsWith(ending))?.[1];
 	const isNumber = expected === 'number' || expected === 'int';
-	return unit && isNumber ? `a number of ${unit}` : nameOf(expected);
+	return unit && isNumber ? `a number of ${unit}` : describeType(expected);
 };
 
-const list = (values: readonly unknown[]): string => values.map(value => JSON.stringify(value)).join(', ');
+const formatList = (values: readonly unknown[]): string => values.map(value => JSON.stringify(value)).join(', ');
 
 const choiceMessage = (choices: readonly unknown[], value: unknown): string => value === undefined
-	? `is missing: wants one of ${list(choices)}`
-	: `wants one of ${list(choices)}, not ${JSON.stringify(value)}`;
+	? `is missing: wants one of ${formatList(choices)}`
+	: `wants one of ${formatList(choices)}, not ${JSON.stringify(value)}`;
 
-const bound = (issue: {origin: string; inclusive?: boolean}, limit: unknown, words: readonly [string, string]): string => {
+const boundMessage = (issue: {origin: string; inclusive?: boolean}, limit: unknown, words: readonly [string, string]): string => {
 	const subject: Readonly<Record<string, string>> = {string: ' characters', array: ' entries'};
 	return `must ${subject[issue.origin] ? 'have' : 'be'} ${issue.inclusive === false ? words[1] : words[0]} ${String(limit)}${subject[issue.origin] ?? ''}`;
 };
 
-const depth = (issues: readonly PlainIssue[]): number => Math.max(...issues.map(({path}) => path.length));
+const maxDepth = (issues: readonly ReadableIssue[]): number => Math.max(...issues.map(({path}) => path.length));
 
-type Teller<Code extends Issue['code']> = (issue: Extract<Issue, {code: Code}>, path: Array<string | number>, valueAt: ValueAt) => PlainIssue[];
-type Tellers = {readonly [Code in Issue['code']]?: Teller<Code>};
+type IssueFormatter<Code extends Issue['code']> = (issue: Extract<Issue, {code: Code}>, path: Array<string | number>, valueAt: ValueAt) => ReadableIssue[];
+type IssueFormatters = {readonly [Code in Issue['code']]?: IssueFormatter<Code>};
 
-const tellers: Tellers = {
+const issueFormatters: IssueFormatters = {
 	invalid_type(issue, path, valueAt) {
 		const value = valueAt(path);
-		const wants = `wants ${wanted(issue.expected, path)}`;
-		return [{path, message: value === undefined ? `is missing: ${wants}` : `${wants}, not ${shown(value)}`}];
+		const requirement = `wants ${describeExpected(issue.expected, path)}`;
+		return [{path, message: value === undefined ? `is missing: ${requirement}` : `${requirement}, not ${formatValue(value)}`}];
 	},
 	unrecognized_keys: (issue, path) => issue.keys.map(key => ({path: [...path, key], message: 'is not a known key'})),
 	invalid_value: (issue, path, valueAt) => [{path, message: choiceMessage(issue.values, valueAt(path))}],
-	too_small: (issue, path) => [{path, message: bound(issue, issue.minimum, ['at least', 'more than'])}],
-	too_big: (issue, path) => [{path, message: bound(issue, issue.maximum, ['at most', 'less than'])}],
+	too_small: (issue, path) => [{path, message: boundMessage(issue, issue.minimum, ['at least', 'more than'])}],
+	too_big: (issue, path) => [{path, message: boundMessage(issue, issue.maximum, ['at most', 'less than'])}],
 	/** Reports the problems of the union member that matches best: the one whose problems are deepest, and of those the one with the fewest. */
 	invalid_union(issue, path, valueAt) {
 		if ('options' in issue && Array.isArray(issue.options)) {
 			return [{path, message: choiceMessage(issue.options, valueAt(path))}];
 		}
 
-		const shapes = issue.errors.map(issues => issues.flatMap(inner => plainMessages({...inner, path: [...issue.path, ...inner.path]}, valueAt)));
-		const [closest] = shapes.filter(issues => issues.length > 0).toSorted((a, b) => depth(b) - depth(a) || a.length - b.length);
-		return closest ?? [{path, message: issue.message}];
+		const alternatives = issue.errors.map(issues => issues.flatMap(inner => readableIssues({...inner, path: [...issue.path, ...inner.path]}, valueAt)));
+		const [bestMatch] = alternatives.filter(issues => issues.length > 0).toSorted((a, b) => maxDepth(b) - maxDepth(a) || a.length - b.length);
+		return bestMatch ?? [{path, message: issue.message}];
 	},
 };
 
@@ -85,9 +85,9 @@
 @param valueAt - Returns the value at a path, or `undefined` when there is none.
 @returns The issue as human-readable problems; several when several keys are unknown.
 */
-export const plainMessages = (issue: Issue, valueAt: ValueAt): PlainIssue[] => {
+export const readableIssues = (issue: Issue, valueAt: ValueAt): ReadableIssue[] => {
 	const path = issue.path.filter(part => typeof part !== 'symbol');
-	const teller = tellers[issue.code] as Teller<Issue['code']> | undefined;
-	const told = teller?.(issue, path, valueAt);
-	return told ?? [{path, message: valueAt(path) === undefined ? `is missing: ${issue.message}` : issue.message}];
+	const formatter = issueFormatters[issue.code] as IssueFormatter<Issue['code']> | undefined;
+	const formatted = formatter?.(issue, path, valueAt);
+	return formatted ?? [{path, message: valueAt(path) === undefined ? `is missing: ${issue.message}` : issue.message}];
 };
--- a/src/io/seeded-random.ts
+++ b/src/io/seeded-random.ts
@@ -5,7 +5,7 @@
 import {type RandomSource} from '../common/services.js';
 
 /** Number of distinct values of the generator, whose output is a signed 32-bit integer. */
-const draws = 2 ** 32;
+const distinctValues = 2 ** 32;
 
 /** A {@link RandomSource} with a 32-bit seed. */
 export class SeededRandom implements RandomSource {
@@ -17,6 +17,6 @@
 	}
 
 	next(): number {
-		return (this.#generator.unsafeNext() / draws) + 0.5;
+		return (this.#generator.unsafeNext() / distinctValues) + 0.5;
 	}
 }
--- a/src/io/settings-error.ts
+++ b/src/io/settings-error.ts
@@ -21,7 +21,7 @@
 		| {readonly kind: 'invalid'; readonly problems: readonly SettingsProblem[]};
 
 /** Key of a problem that concerns the entire file. */
-export const wholeFile = '(file)';
+export const entireFile = '(file)';
 
 /**
 @returns `file:line:column: key: message`, a format from which editors can open the position.
--- a/src/io/settings-reload.ts
+++ b/src/io/settings-reload.ts
@@ -9,7 +9,7 @@
 import {describeSettingsError, type SettingsError} from './settings-error.js';
 
 /** Source and consumer of the settings. */
-export type SettingsReloadParts<T> = {
+export type SettingsReloadOptions<T> = {
 	readonly path: string;
 	readonly log: EventLog;
 	readonly load: () => Either<SettingsError, T>;
@@ -21,13 +21,13 @@
 
 /** Reloads the settings of a running program. */
 export class SettingsReload<T> implements Disposable {
-	readonly #parts: SettingsReloadParts<T>;
+	readonly #options: SettingsReloadOptions<T>;
 	readonly #onSignal: () => void;
 	readonly #onChange: () => void;
 
 	/** Starts listening immediately. Without a listener, SIGHUP would terminate the process. */
-	constructor(parts: SettingsReloadParts<T>) {
-		this.#parts = parts;
+	constructor(options: SettingsReloadOptions<T>) {
+		this.#options = options;
 		this.#onSignal = () => {
 			this.#reload('SIGHUP');
 		};
@@ -37,16 +37,16 @@
 		};
 
 		process.on('SIGHUP', this.#onSignal);
-		watchFile(parts.path, {interval: pollIntervalMs, persistent: false}, this.#onChange);
+		watchFile(options.path, {interval: pollIntervalMs, persistent: false}, this.#onChange);
 	}
 
 	dispose(): void {
 		process.off('SIGHUP', this.#onSignal);
-		unwatchFile(this.#parts.path, this.#onChange);
+		unwatchFile(this.#options.path, this.#onChange);
 	}
 
 	#reload(cause: string) {
-		const {path, log, load, apply} = this.#parts;
+		const {path, log, load, apply} = this.#options;
 		load()
 			.ifLeft(err => {
 				log.emit(platformEvents.settingsRefused, {cause, path, problems: describeSettingsError(err).lines});
--- a/src/io/settings.steps.ts
+++ b/src/io/settings.steps.ts
@@ -1,5 +1,5 @@
 /**
-Steps for settings that are wrong.
+Steps for the validation of settings.
 */
 import assert from 'node:assert/strict';
 import {existsSync, readFileSync} from 'node:fs';
@@ -51,11 +51,11 @@
 	this.loaded = loadSettings(schema, 'no-such-folder/settings.jsonc');
 });
 
-Then('these problems are told', function (this: SettingsWorld, table: DataTable) {
+Then('these problems are reported', function (this: SettingsWorld, table: DataTable) {
 	const err = this.loaded.swap().unsafeCoerce();
 	assert.equal(err.kind, 'invalid');
-	const told = err.kind === 'invalid' ? err.problems.map(problem => [`${problem.line}:${problem.column}`, problem.key, problem.message]) : [];
-	assert.deepEqual(told, table.raw());
+	const reported = err.kind === 'invalid' ? err.problems.map(problem => [`${problem.line}:${problem.column}`, problem.key, problem.message]) : [];
+	assert.deepEqual(reported, table.raw());
 });
 
 Then('the settings cannot be read: {string}', function (this: SettingsWorld, reason: string) {
@@ -63,12 +63,12 @@
 	assert.deepEqual(err, {kind: 'unreadable', file: 'no-such-folder/settings.jsonc', reason});
 });
 
-Then('the settings read', function (this: SettingsWorld, table: DataTable) {
+Then('the settings are', function (this: SettingsWorld, table: DataTable) {
 	const settings = this.loaded.unsafeCoerce();
 	assert.deepEqual(table.raw().map(([key = '']) => [key, String(settings[key])]), table.raw());
 });
 
-/** A program with several commands needs one to be named; settings come before the command's own arguments. */
+/** First command in the help text: a program with several commands requires one, followed by `--settings` and the arguments of the command. */
 const firstCommand = (help: string): string[] => {
 	const {name} = /Available Commands\n\s+(?<name>\S+)/v.exec(help)?.groups ?? {};
 	return name === undefined ? [] : [name];
@@ -79,7 +79,7 @@
 	return Object.values(bin).filter(file => existsSync(file));
 };
 
-/** How each built program is called, up to the place where `--settings` may follow. */
+/** Command lines of all built programs, up to the position of `--settings`. */
 const calls = async (): Promise<string[][]> => Promise.all(builtPrograms().map(async program => {
 	const {stdout} = await runToEnd([program, '--help']);
 	return [program, ...firstCommand(stdout)];
@@ -89,12 +89,12 @@
 	const file = await fileWith(this, JSON.stringify({[key]: 1}));
 	const called = await calls();
 	const helps = await Promise.all(called.map(async call => ({call, ...await runToEnd([...call, '--help'])})));
-	const takers = helps.filter(({stdout}) => stdout.includes('--settings'));
-	this.runs = await Promise.all(takers.map(async ({call}) => ({program: call.join(' '), ...await runToEnd([...call, '--settings', file])})));
+	const programsWithSettings = helps.filter(({stdout}) => stdout.includes('--settings'));
+	this.runs = await Promise.all(programsWithSettings.map(async ({call}) => ({program: call.join(' '), ...await runToEnd([...call, '--settings', file])})));
 	assert.ok(this.runs.length > 0);
 });
 
-Then('each names {string}, exits with {int} and prints no stack trace', function (this: SettingsWorld, key: string, code: number) {
+Then('each reports {string}, exits with {int} and prints no stack trace', function (this: SettingsWorld, key: string, code: number) {
 	assert.equal(code, exitCodes.settings);
 	this.runs.forEach(({program, stderr, code: actual}) => {
 		assert.match(stderr, new RegExp(`:1:2: ${key}: is not a known key`, 'v'), program);
--- a/src/io/socket-watch.ts
+++ b/src/io/socket-watch.ts
@@ -6,7 +6,7 @@
 import type {Socket} from 'node:net';
 
 /** Ignored by a server after a response; the connection carries no further request. */
-const harmlessBytes = '\r\n';
+const probeBytes = '\r\n';
 
 /** Detects a reset of a connection. */
 export class SocketWatch {
@@ -30,7 +30,7 @@
 		}
 
 		return new Promise(resolve => {
-			socket.write(harmlessBytes, err => {
+			socket.write(probeBytes, err => {
 				resolve(Boolean(err) || this.#hasFailed);
 			});
 		});
--- a/src/io/sse-reader.ts
+++ b/src/io/sse-reader.ts
@@ -15,60 +15,60 @@
 /** Called after each chunk; returns a promise when reading must pause until it resolves. */
 export type StreamPause = () => Promise<void> | undefined;
 
-const stepsOfSilence = 4;
+const maxIdleSteps = 4;
 
 /**
 Passes each event of a stream to `onEvent` until the stream ends.
 
-@param silenceMs - Milliseconds without a byte after which the stream is destroyed; 0 disables the limit.
+@param idleTimeoutMs - Milliseconds without a byte after which the stream is destroyed; 0 disables the limit.
 @returns How the stream ended. Never rejects.
 */
-export const followEvents = async (body: Readable, silenceMs: number, onEvent: EventHandler, pause?: StreamPause): Promise<StreamEnd> => new Promise(resolve => {
-	let silentSteps = 0;
-	let isOver = false;
-	const step = () => {
-		silentSteps = body.isPaused() ? 0 : silentSteps + 1;
+export const followEvents = async (body: Readable, idleTimeoutMs: number, onEvent: EventHandler, pause?: StreamPause): Promise<StreamEnd> => new Promise(resolve => {
+	let idleSteps = 0;
+	let hasEnded = false;
+	const countIdleStep = () => {
+		idleSteps = body.isPaused() ? 0 : idleSteps + 1;
 		// The first step may have started long before the last byte arrived, so it is not counted.
-		if (!isOver && silentSteps > stepsOfSilence) {
+		if (!hasEnded && idleSteps > maxIdleSteps) {
 			finish('silent');
 		}
 	};
 
-	const watch = silenceMs > 0
+	const idleTimer = idleTimeoutMs > 0
 		? setInterval(() => {
-			setImmediate(step);
-		}, silenceMs / stepsOfSilence)
+			setImmediate(countIdleStep);
+		}, idleTimeoutMs / maxIdleSteps)
 		: undefined;
 	const finish = (end: StreamEnd) => {
 		// Events that an aborted stream still delivers must not mix with those of its replacement.
-		isOver = true;
-		clearInterval(watch);
+		hasEnded = true;
+		clearInterval(idleTimer);
 		resolve(end);
 		body.destroy();
 	};
 
 	const parser = createParser({
 		onEvent(event) {
-			if (!isOver && onEvent(event) === false) {
+			if (!hasEnded && onEvent(event) === false) {
 				finish('broken');
 			}
 		},
 	});
 	// Backpressure: while the consumer cannot accept more, the stream is paused instead of being buffered in memory. The pause does not count as idle time.
-	const standStill = async (resumed: Promise<void>) => {
+	const pauseUntil = async (resumed: Promise<void>) => {
 		body.pause();
 		await resumed;
-		silentSteps = 0;
+		idleSteps = 0;
 		body.resume();
 	};
 
 	const decoder = new TextDecoder();
 	body.on('data', (bytes: Uint8Array) => {
-		silentSteps = 0;
+		idleSteps = 0;
 		parser.feed(decoder.decode(bytes, {stream: true}));
 		const resumed = pause?.();
-		if (resumed && !isOver) {
-			void standStill(resumed);
+		if (resumed && !hasEnded) {
+			void pauseUntil(resumed);
 		}
 	});
 	body.once('end', () => {
--- a/src/io/sse-writer.ts
+++ b/src/io/sse-writer.ts
@@ -18,7 +18,7 @@
 		res.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-cache'});
 		res.flushHeaders();
 		this.#timer = setInterval(() => {
-			this.#beat();
+			this.#sendHeartbeat();
 		}, heartbeatMs);
 	}
 
@@ -39,7 +39,7 @@
 		clearInterval(this.#timer);
 	}
 
-	#beat() {
+	#sendHeartbeat() {
 		if (!this.#sentSinceTick) {
 			this.#res.write(':\n\n');
 		}
--- a/src/io/testing/pause-process.ts
+++ b/src/io/testing/pause-process.ts
@@ -1,11 +1,11 @@
 /**
-A pause of this process, as a busy machine brings about.
+Simulates a pause of this process, as it occurs on a busy machine.
 */
 
-/** Runs nothing else of this process for the given milliseconds. */
+/** Blocks the event loop for the given number of milliseconds. */
 export const pauseProcess = (ms: number): void => {
 	const endsAt = performance.now() + ms;
 	while (performance.now() < endsAt) {
-		// Stands still.
+		// Busy wait.
 	}
 };
--- a/src/io/testing/run-process.ts
+++ b/src/io/testing/run-process.ts
@@ -1,43 +1,43 @@
 /**
-Runs a program of this repository as its users do, for features that look at output, signals and exit codes.
+Runs a program of this repository in its own process, for features that check output, signals and exit codes.
 */
 import {spawn, type ChildProcess} from 'node:child_process';
 import process from 'node:process';
 
-/** What a program printed and how it ended. */
+/** Output and exit code of a program. */
 export type Ended = {
 	readonly stdout: string;
 	readonly stderr: string;
-	/** `null` when a signal ended it. */
+	/** `null` if the process was terminated by a signal. */
 	readonly code: number | null;
 };
 
-/** How to run a program. */
+/** Environment and working directory of a program. */
 export type RunOptions = {
 	readonly env?: Readonly<Record<string, string>>;
-	/** The repository's root by default. */
+	/** Defaults to the root of the repository. */
 	readonly cwd?: string;
 };
 
-/** A program that runs. Dispose of it: the process is killed if it still runs. */
+/** A running program. Disposing of it kills the process if it is still running. */
 export class RunningProcess {
-	/** Resolves when the process has ended and its output is complete. */
+	/** Resolves when the process has exited and its output is complete. */
 	readonly ended: Promise<Ended>;
 	readonly #child: ChildProcess;
 	#stdout = '';
 	#stderr = '';
-	readonly #waiting: Array<() => void> = [];
+	readonly #outputListeners: Array<() => void> = [];
 
 	/**
 	@param args - Arguments for Node: `dist/x.js …`, or `--import tsx src/x.ts …`.
-	@param options - Variables besides those of this process, and the working folder.
+	@param options - Environment variables in addition to those of this process, and the working directory.
 	*/
 	constructor(args: readonly string[], {env, cwd}: RunOptions = {}) {
 		this.#child = spawn(process.execPath, args, {stdio: ['ignore', 'pipe', 'pipe'], env: {...process.env, ...env}, cwd});
 		this.#child.stdout?.setEncoding('utf8').on('data', (text: string) => {
 			this.#stdout += text;
-			this.#waiting.splice(0).forEach(look => {
-				look();
+			this.#outputListeners.splice(0).forEach(check => {
+				check();
 			});
 		});
 		this.#child.stderr?.setEncoding('utf8').on('data', (text: string) => {
@@ -50,28 +50,28 @@
 		});
 	}
 
-	/** @param signal - Sent to this process alone. */
+	/** @param signal - Sent to the process only, not to its children. */
 	signal(signal: NodeJS.Signals): void {
 		this.#child.kill(signal);
 	}
 
 	/**
-	Waits until standard output has what is looked for. A step's timeout is the limit.
+	Waits until `find` returns a result for standard output. The timeout of the step is the limit.
 
-	@param find - Returns what it found, or `undefined`.
+	@param find - Returns the match, or `undefined` to wait for more output.
 	*/
 	async output<T>(find: (stdout: string) => T | undefined): Promise<T> {
 		return new Promise(resolve => {
-			const look = () => {
+			const check = () => {
 				const found = find(this.#stdout);
 				if (found === undefined) {
-					this.#waiting.push(look);
+					this.#outputListeners.push(check);
 				} else {
 					resolve(found);
 				}
 			};
 
-			look();
+			check();
 		});
 	}
 
@@ -83,7 +83,7 @@
 
 /**
 @param args - Arguments for Node.
-@param options - Variables besides those of this process, and the working folder.
-@returns How the program ended.
+@param options - Environment variables in addition to those of this process, and the working directory.
+@returns Output and exit code of the program.
 */
 export const runToEnd = async (args: readonly string[], options?: RunOptions): Promise<Ended> => new RunningProcess(args, options).ended;
--- a/src/io/testing/sample-program.ts
+++ b/src/io/testing/sample-program.ts
@@ -1,5 +1,5 @@
 /**
-The smallest daemon: it listens to nothing, and on request breaks an invariant or takes its time to drain. Features of the program frame run it.
+A minimal daemon for the features of the program frame. It opens no port; its `behaviour` setting selects how it starts and drains, for instance that it violates an invariant.
 */
 import process from 'node:process';
 import {Left, Right} from 'purify-ts/Either';
@@ -17,15 +17,15 @@
 	queueBytes: sizeBytes(),
 	tries: countOf(2),
 	timeoutMs: durationMs(1000),
-	/** What the program does once it runs. */
+	/** Behaviour of the program at its start and drain. */
 	behaviour: z.enum(['drains', 'floods', 'hangs', 'breaks', 'cannotStart']).default('drains'),
 });
 
 type Behaviour = z.infer<typeof schema>['behaviour'];
 
-/** More lines at one moment than may wait for their reader. */
+/** More lines than the log buffers for a slow reader. */
 const floodLines = 40_000;
-const floodEvent: EventDefinition = {number: 999, level: 'info', text: 'a line of a flood that is long enough to fill what may wait for the reader'};
+const floodEvent: EventDefinition = {number: 999, level: 'info', text: 'a line that is long enough to fill the buffer of the log when it is repeated'};
 
 const drains: Readonly<Record<Behaviour, () => Promise<void>>> = {
 	async drains() {
@@ -36,23 +36,23 @@
 	},
 	async hangs() {
 		return new Promise(() => {
-			// A request that never ends.
+			// Simulates a request that never ends.
 		});
 	},
 	async breaks() {
 		throw new Error('a count went below zero');
 	},
 	async cannotStart() {
-		// Never reached.
+		// Not reached.
 	},
 };
 
 runProgram({
 	name: 'sample-program',
-	describe: 'Does nothing until it is told to stop.',
+	describe: 'Does nothing until it is stopped.',
 	schema,
 	async start({listen, behaviour}, {log}) {
-		// Begun before the start can fail, as the timers of the real programs are.
+		// Created before the start can fail, like the timers of the real programs.
 		const timer = setInterval(() => undefined, 1000);
 		if (behaviour === 'cannotStart') {
 			return Left({exitCode: exitCodes.unavailable, message: `${listen} is taken`});
--- a/src/io/testing/serve-on-loopback.ts
+++ b/src/io/testing/serve-on-loopback.ts
@@ -1,12 +1,12 @@
 /**
-A server for one scenario.
+HTTP servers and free addresses for scenarios.
 */
 import {createServer, type RequestListener} from 'node:http';
 import type {AddressInfo} from 'node:net';
 import type {TestWorld} from '../../common/testing/test-world.js';
 
 /**
-Serves on any free port until the scenario ends.
+Serves HTTP on a free port of the loopback interface until the scenario ends.
 
 @returns `ip:port`.
 */
@@ -24,7 +24,7 @@
 	return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 };
 
-/** `ip:port` on which nobody listens: it was free a moment ago. */
+/** Returns an `ip:port` without a listener; its port was free a moment before. */
 export const freeAddress = async (): Promise<string> => {
 	const server = createServer();
 	await new Promise<void>(resolve => {
--- a/src/io/testing/tcp-relay.ts
+++ b/src/io/testing/tcp-relay.ts
@@ -1,24 +1,24 @@
 /**
-A TCP relay between two processes under test, with the faults of a network: connections that go silent for good while new ones work, connections that are cut, and a peer that can not be reached.
+A TCP relay between two processes under test that injects network faults: connections that become permanently unresponsive while new ones work, connections that are closed, and an unreachable peer.
 */
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 
-type Pair = {readonly near: Socket; readonly far: Socket; isSilent: boolean; held: Array<() => void>};
+type ConnectionPair = {readonly client: Socket; readonly upstream: Socket; isBlocked: boolean; pendingDeliveries: Array<() => void>};
 
-/** What the relay does with a new connection. `silent`: nothing passes. */
+/** Treatment of new connections. `open`: data is relayed. `silent`: data is held back in both directions. */
 export type RelayMode = 'open' | 'silent';
 
-/** What befalls the next request that begins with a text. `held`: its connection goes silent before it passes. `answerLost`: it passes, and the first bytes back cut the connection. */
+/** A fault for the next request that starts with `prefix`. `held`: the connection becomes unresponsive before the request is relayed. `answerLost`: the request is relayed, and the connection is closed at the first bytes of the response. */
 export type RequestFault = {
 	readonly prefix: string;
 	readonly kind: 'held' | 'answerLost';
-	/** Called when a request met the fault. */
+	/** Called when the fault is applied to a request. */
 	readonly onMet?: () => void;
 };
 
-/** Relays connections to one address. */
+/** Relays TCP connections to one address. */
 export class TcpRelay {
 	/** @param target - `ip:port` of the peer. */
 	static async start(target: string): Promise<TcpRelay> {
@@ -29,57 +29,57 @@
 		return relay;
 	}
 
-	/** How new connections are treated. */
+	/** Treatment of new connections. */
 	mode: RelayMode = 'open';
 
-	/** The peer, which a test may replace by its successor. */
+	/** Address of the peer; a test may replace it by that of its successor. */
 	target: string;
 
-	/** Befalls one request. */
+	/** Applied to the next matching request only. */
 	fault: RequestFault | undefined;
 
 	readonly #server: Server;
-	readonly #pairs = new Set<Pair>();
+	readonly #pairs = new Set<ConnectionPair>();
 
 	private constructor(target: string) {
 		this.target = target;
-		this.#server = createServer({noDelay: true}, near => {
-			this.#relay(near);
+		this.#server = createServer({noDelay: true}, client => {
+			this.#relay(client);
 		});
 	}
 
-	/** `ip:port` to connect to. */
+	/** Address of the relay as `ip:port`. */
 	get address(): string {
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Connections open now. */
+	/** Number of open connections. */
 	get open(): number {
 		return this.#pairs.size;
 	}
 
-	/** Delivers what was sent on connections while they were silent, and lets them pass again. */
+	/** Delivers the data that was held back on unresponsive connections, and relays data on them again. */
 	release(): void {
 		this.#pairs.forEach(pair => {
-			pair.isSilent = false;
-			pair.held.splice(0).forEach(deliver => {
+			pair.isBlocked = false;
+			pair.pendingDeliveries.splice(0).forEach(deliver => {
 				deliver();
 			});
 		});
 	}
 
-	/** From now on nothing passes on the connections that are open, in either direction, and neither end is told. What is sent is held back, as in the buffers of a network. */
+	/** Makes all open connections unresponsive in both directions without notifying either end. Data that is sent on them is held back, as in network buffers. */
 	silence(): void {
 		this.#pairs.forEach(pair => {
-			pair.isSilent = true;
+			pair.isBlocked = true;
 		});
 	}
 
-	/** Cuts the connections that are open. */
+	/** Closes all open connections. */
 	cut(): void {
-		this.#pairs.forEach(({near, far}) => {
-			near.destroy();
-			far.destroy();
+		this.#pairs.forEach(({client, upstream}) => {
+			client.destroy();
+			upstream.destroy();
 		});
 	}
 
@@ -88,19 +88,19 @@
 		this.#server.close();
 	}
 
-	#relay(near: Socket) {
+	#relay(client: Socket) {
 		const {mode} = this;
 		const [host, port] = this.target.split(':');
-		const far = connect({host, port: Number(port), noDelay: true});
-		const pair: Pair = {
-			near, far, isSilent: mode === 'silent', held: [],
+		const upstream = connect({host, port: Number(port), noDelay: true});
+		const pair: ConnectionPair = {
+			client, upstream, isBlocked: mode === 'silent', pendingDeliveries: [],
 		};
 		this.#pairs.add(pair);
-		this.#pass(near, far, pair);
-		this.#pass(far, near, pair);
+		this.#forward(client, upstream, pair);
+		this.#forward(upstream, client, pair);
 	}
 
-	#meetFault(bytes: Uint8Array, pair: Pair) {
+	#applyFault(bytes: Uint8Array, pair: ConnectionPair) {
 		const {fault} = this;
 		if (!fault || !new TextDecoder().decode(bytes.subarray(0, fault.prefix.length)).startsWith(fault.prefix)) {
 			return;
@@ -109,20 +109,20 @@
 		this.fault = undefined;
 		fault.onMet?.();
 		if (fault.kind === 'held') {
-			pair.isSilent = true;
+			pair.isBlocked = true;
 			return;
 		}
 
-		pair.far.once('data', () => {
-			pair.isSilent = true;
-			pair.near.destroy();
+		pair.upstream.once('data', () => {
+			pair.isBlocked = true;
+			pair.client.destroy();
 		});
 	}
 
-	#pass(from: Socket, to: Socket, pair: Pair) {
+	#forward(from: Socket, to: Socket, pair: ConnectionPair) {
 		const deliver = (action: () => void) => {
-			if (pair.isSilent) {
-				pair.held.push(action);
+			if (pair.isBlocked) {
+				pair.pendingDeliveries.push(action);
 				return;
 			}
 
@@ -130,8 +130,8 @@
 		};
 
 		from.on('data', bytes => {
-			if (from === pair.near) {
-				this.#meetFault(bytes, pair);
+			if (from === pair.client) {
+				this.#applyFault(bytes, pair);
 			}
 
 			deliver(() => {
--- a/src/io/time-limit.ts
+++ b/src/io/time-limit.ts
@@ -3,24 +3,24 @@
 */
 import type {Disposable} from '../common/services.js';
 
-const stepsOfLimit = 4;
+const stepCount = 4;
 
 /** A timeout that does not count pauses of this process. */
 export class TimeLimit implements Disposable {
 	readonly #stepMs: number;
-	readonly #onOver: () => void;
-	#left = stepsOfLimit;
+	readonly #onExpired: () => void;
+	#remainingSteps = stepCount;
 	#timer: NodeJS.Timeout | undefined;
 	#isDisposed = false;
 
 	/**
 	@param ms - Time limit in milliseconds.
-	@param onOver - Called once when the limit expires, unless it is disposed of before.
+	@param onExpired - Called once when the limit expires, unless it is disposed of before.
 	*/
-	constructor(ms: number, onOver: () => void) {
-		this.#stepMs = ms / stepsOfLimit;
-		this.#onOver = onOver;
-		this.#next();
+	constructor(ms: number, onExpired: () => void) {
+		this.#stepMs = ms / stepCount;
+		this.#onExpired = onExpired;
+		this.#scheduleStep();
 	}
 
 	dispose(): void {
@@ -28,7 +28,7 @@
 		clearTimeout(this.#timer);
 	}
 
-	#next() {
+	#scheduleStep() {
 		this.#timer = setTimeout(() => {
 			setImmediate(() => {
 				this.#step();
@@ -37,15 +37,15 @@
 	}
 
 	#step() {
-		this.#left -= 1;
+		this.#remainingSteps -= 1;
 		if (this.#isDisposed) {
 			return;
 		}
 
-		if (this.#left > 0) {
-			this.#next();
+		if (this.#remainingSteps > 0) {
+			this.#scheduleStep();
 		} else {
-			this.#onOver();
+			this.#onExpired();
 		}
 	}
 }
--- a/src/io/watched-client.ts
+++ b/src/io/watched-client.ts
@@ -14,7 +14,7 @@
 type Handler = Required<Dispatcher.DispatchHandler>;
 
 /** Forwards a response to the next handler, and turns the end of an unframed response into an error if the connection was reset. */
-class EndJudge implements Dispatcher.DispatchHandler {
+class ResponseEndVerifier implements Dispatcher.DispatchHandler {
 	readonly #next: Dispatcher.DispatchHandler;
 	readonly #method: string;
 	readonly #watch: SocketWatch;
@@ -52,14 +52,14 @@
 			return;
 		}
 
-		void this.#endUnframed(args);
+		void this.#verifyUnframedEnd(args);
 	}
 
 	onResponseError(...args: Parameters<Handler['onResponseError']>): void {
 		this.#next.onResponseError?.(...args);
 	}
 
-	async #endUnframed(args: Parameters<Handler['onResponseEnd']>) {
+	async #verifyUnframedEnd(args: Parameters<Handler['onResponseEnd']>) {
 		if (await this.#watch.wasReset()) {
 			this.#next.onResponseError?.(args[0], new Error('reset within an answer without a length'));
 		} else {
@@ -89,6 +89,6 @@
 	}
 
 	override dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
-		return super.dispatch(options, new EndJudge(handler, options.method, this.#watch));
+		return super.dispatch(options, new ResponseEndVerifier(handler, options.method, this.#watch));
 	}
 }
