--- a/src/io/read-body.ts
+++ b/src/io/read-body.ts
@@ -10,7 +10,7 @@
 	= | {readonly kind: 'tooLarge'; readonly limitBytes: number}
 		| {readonly kind: 'cut'};
 
-// A sender whose connection is closed while it sends the body receives a reset instead of the rejection. Up to this many bytes above the limit are therefore read and discarded; for larger bodies reading stops.
+// A sender whose connection is closed while it sends the body receives a reset instead of the rejection. Up to this many bytes above the limit are therefore read and discarded; a body that exceeds this, too, is cut off.
 const maxDiscardedBytes = 67_108_864;
 
 /**
