--- a/src/io/datagram-channel.ts
+++ b/src/io/datagram-channel.ts
@@ -1,5 +1,5 @@
 /**
-JSON-RPC 2.0 notifications between own processes, one a datagram. A datagram needs no connection, so none can go silent, and one that is lost is made good by the next: fit for state that is sent again and again, and for nothing else.
+Exchanges JSON-RPC 2.0 notifications between processes of the fleet over UDP, one per datagram. There is no connection that could become unresponsive, and a lost datagram is superseded by the next one. It is therefore suitable only for state that is sent repeatedly.
 */
 import {Buffer} from 'node:buffer';
 import {createSocket, type Socket} from 'node:dgram';
@@ -11,13 +11,13 @@
 import {exitCodes} from './exit-codes.js';
 import type {StartError} from './program.js';
 
-/** Takes one notification's parameters, after their test. */
+/** Handles the parameters of a notification after their validation. */
 export type NotificationHandler = (params: never) => void;
 
-/** A larger datagram would be cut by the network layer, and one lost piece loses all of it; the largest that UDP carries. */
+/** Close to the largest payload that UDP carries. The network layer fragments large datagrams, and one lost fragment loses the complete datagram. */
 const maxDatagramBytes = 65_000;
 
-const parsed = (bytes: Buffer): unknown => {
+const parseJson = (bytes: Buffer): unknown => {
 	try {
 		return JSON.parse(bytes.toString('utf8'));
 	} catch {
@@ -30,9 +30,9 @@
 	readonly #socket: Socket = createSocket('udp4');
 	readonly #handlers: Readonly<Record<string, NotificationHandler>>;
 	#address = '';
-	#refused = 0;
+	#rejectedCount = 0;
 
-	/** @param handlers - By method. */
+	/** @param handlers - Handlers by method name. */
 	constructor(handlers: Readonly<Record<string, NotificationHandler>>) {
 		this.#handlers = handlers;
 		this.#socket.on('message', bytes => {
@@ -40,17 +40,17 @@
 		});
 	}
 
-	/** `ip:port` that it listens on. */
+	/** The bound address as `ip:port`; empty before `listen`. */
 	get address(): string {
 		return this.#address;
 	}
 
-	/** Datagrams that were no notification of a known method. */
+	/** Number of datagrams rejected: received ones that are not a valid notification of a known method, and outgoing ones above the size limit. */
 	get refused(): number {
-		return this.#refused;
+		return this.#rejectedCount;
 	}
 
-	/** @param address - `ip:port`; port 0 takes any free port. */
+	/** @param address - `ip:port`; port 0 selects any free port. */
 	async listen(address: string): Promise<Either<StartError, string>> {
 		const {host, port} = parseAddress(address) ?? {host: '', port: 0};
 		return new Promise(resolve => {
@@ -58,7 +58,7 @@
 				resolve(Left({exitCode: exitCodes.unavailable, message: `can not listen on ${address}: ${err.message}`}));
 			});
 			this.#socket.bind({address: host, port}, () => {
-				// From here on an error concerns one datagram: its receiver is gone, which the silence tells.
+				// Once bound, an error concerns a single datagram whose receiver is unreachable; the receiver is detected by its missing notifications.
 				this.#socket.removeAllListeners('error');
 				this.#socket.on('error', () => undefined);
 				this.#address = formatAddress({host, port: this.#socket.address().port});
@@ -67,7 +67,7 @@
 		});
 	}
 
-	/** Sends to each address; whether it arrives is not known. */
+	/** Sends a notification to each address, without confirmation of delivery. */
 	send(addresses: readonly string[], method: string, params: Readonly<Record<string, unknown>>): void {
 		if (addresses.length === 0) {
 			return;
@@ -75,14 +75,14 @@
 
 		const bytes = Buffer.from(JSON.stringify(createJSONRPCNotification(method, params)));
 		if (bytes.length > maxDatagramBytes) {
-			this.#refused += 1;
+			this.#rejectedCount += 1;
 			return;
 		}
 
 		addresses.forEach(address => {
-			const to = parseAddress(address);
-			if (to) {
-				this.#socket.send(bytes, to.port, to.host, () => undefined);
+			const target = parseAddress(address);
+			if (target) {
+				this.#socket.send(bytes, target.port, target.host, () => undefined);
 			}
 		});
 	}
@@ -92,11 +92,11 @@
 	}
 
 	#receive(bytes: Buffer) {
-		const message = parsed(bytes);
+		const message = parseJson(bytes);
 		const method = isJSONRPCRequest(message) ? message.method : '';
 		const params: unknown = isJSONRPCRequest(message) ? message.params : undefined;
 		if (!this.#handlers[method] || messageValidators[method]?.(params) !== true) {
-			this.#refused += 1;
+			this.#rejectedCount += 1;
 			return;
 		}
 
--- a/src/io/http-object-api.ts
+++ b/src/io/http-object-api.ts
@@ -1,5 +1,5 @@
 /**
-The object API over HTTP: ETag, If-Match and If-None-Match for conditional changes, long polls for watches.
+Client of the object API over HTTP. Conditional changes use ETag, If-Match and If-None-Match; watches use long polling.
 */
 import {Buffer} from 'node:buffer';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -13,15 +13,15 @@
 	failureOf, ObjectApiCalls, type ObjectApiAnswer, type ObjectApiCall, type ObjectApiOptions,
 } from './object-api-calls.js';
 
-/** The largest value the object API holds, in bytes. */
+/** Maximum size of a value in bytes. */
 export const maxValueBytes = 1_048_576;
 
-const parsed = (text: string): unknown => text === '' ? {} : JSON.parse(text);
+const parseJson = (text: string): unknown => text === '' ? {} : JSON.parse(text);
 
-// Every answer of the object API bears a version. After a VM was replaced, its address may answer with anything; such an answer must not pass for a list without items.
-const isAnswer = (answer: unknown): boolean => typeof (answer as {version?: unknown} | null)?.version === 'number';
+// Every response of the object API contains a version. After a VM was replaced, an unrelated server may respond at its address; such a response must not be taken for an empty list.
+const hasVersion = (answer: unknown): boolean => typeof (answer as {version?: unknown} | null)?.version === 'number';
 
-const withList = <T>(answer: T, list: keyof T): Either<ApiError, T> => Array.isArray(answer[list])
+const requireList = <T>(answer: T, list: keyof T): Either<ApiError, T> => Array.isArray(answer[list])
 	? Right(answer)
 	: Left({kind: 'unavailable', reason: `an answer without ${String(list)}`});
 
@@ -29,7 +29,7 @@
 	404: () => ({kind: 'notFound'}),
 	410: () => ({kind: 'expired'}),
 	412(text) {
-		const current = parsed(text) as Partial<StoredObject>;
+		const current = parseJson(text) as Partial<StoredObject>;
 		return current.version === undefined ? {kind: 'conflict'} : {kind: 'conflict', current: current as StoredObject};
 	},
 	413: () => ({kind: 'tooLarge', limitBytes: maxValueBytes}),
@@ -71,7 +71,7 @@
 		params.set('limit', String(query.limit ?? 500));
 		params.set('values', query.values === false ? '0' : '1');
 		const page = await this.#call<ObjectPage<T>>({method: 'GET', path: `/v1/objects/${kind}?${params.toString()}`, isChange: false});
-		return page.chain(answer => withList(answer, 'items'));
+		return page.chain(answer => requireList(answer, 'items'));
 	}
 
 	async watch(kinds: readonly ObjectKind[], since: Revision, waitMs: number): Promise<Either<ApiError, WatchBatch>> {
@@ -79,7 +79,7 @@
 		const batch = await this.#call<WatchBatch>({
 			method: 'GET', path, waitMs, isChange: false,
 		});
-		return batch.chain(answer => withList(answer, 'events'));
+		return batch.chain(answer => requireList(answer, 'events'));
 	}
 
 	#path(kind: ObjectKind, name: string) {
@@ -106,12 +106,12 @@
 
 	#interpret<T>(call: ObjectApiCall, {status, text}: ObjectApiAnswer): Either<ApiError, T> {
 		if (status < 300) {
-			const answer = parsed(text);
-			return isAnswer(answer) ? Right(answer as T) : Left(failureOf(call, {kind: 'lost', reason: `status ${status} without an answer`}));
+			const answer = parseJson(text);
+			return hasVersion(answer) ? Right(answer as T) : Left(failureOf(call, {kind: 'lost', reason: `status ${status} without an answer`}));
 		}
 
 		const toError = errorsByStatus[status];
-		// A status that the contract does not name, a 500 or 502 for instance, says nothing of whether a change took effect.
+		// A status that the API contract does not define, such as 500 or 502, leaves open whether a change took effect.
 		return Left(toError ? toError(text) : failureOf(call, {kind: 'lost', reason: `status ${status}`}));
 	}
 }
--- a/src/io/jsonc-document.ts
+++ b/src/io/jsonc-document.ts
@@ -1,5 +1,5 @@
 /**
-A file of JSON with comments that remembers where each value stands, so that a problem which a schema finds can be told with its line and column. Comments and trailing commas are allowed.
+A parsed JSON file that retains the position of each value, so that schema problems can be reported with line and column. Comments and trailing commas are allowed.
 */
 import {readFileSync} from 'node:fs';
 import {Left, Right, type Either} from 'purify-ts/Either';
@@ -7,11 +7,11 @@
 	findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode, type JSONPath, type Node, type ParseError,
 } from 'jsonc-parser';
 import {type ZodType} from 'zod';
-import {plainMessages, type PlainIssue} from './schema-messages.js';
-import {wholeFile, type SettingsError, type SettingsProblem} from './settings-error.js';
+import {readableIssues, type ReadableIssue} from './schema-messages.js';
+import {entireFile, type SettingsError, type SettingsProblem} from './settings-error.js';
 
-/** Reasons for which a file could not be read, in words. */
-const readErrors: Readonly<Record<string, string>> = {
+/** Messages for read errors by error code. */
+const readErrorMessages: Readonly<Record<string, string>> = {
 	ENOENT: 'there is no such file',
 	EACCES: 'may not be read',
 	EISDIR: 'is a directory, not a file',
@@ -31,27 +31,27 @@
 	UnexpectedEndOfString: 'a string is not closed',
 };
 
-/** A parsed file. It has a root node: an empty file is a syntax error. */
+/** A parsed file. It always has a root node, since an empty file is a syntax error. */
 export class JsoncDocument {
 	/**
 	Reads and parses a file.
 
-	@param file - Its path.
-	@returns The document, or why it could not be read or parsed. All syntax errors are told, and keys that stand twice.
+	@param file - Path of the file.
+	@returns The document, or why it could not be read or parsed, with all syntax errors or all duplicate keys.
 	*/
 	static read(file: string): Either<SettingsError, JsoncDocument> {
 		try {
 			return JsoncDocument.parse(readFileSync(file, 'utf8'), file);
 		} catch (err) {
 			const {code, message} = err as NodeJS.ErrnoException;
-			return Left({kind: 'unreadable', file, reason: readErrors[code ?? ''] ?? message});
+			return Left({kind: 'unreadable', file, reason: readErrorMessages[code ?? ''] ?? message});
 		}
 	}
 
 	/**
-	@param text - The file's text.
-	@param file - The name to tell problems under.
-	@returns The document, or all syntax errors and keys that stand twice.
+	@param text - Content of the file.
+	@param file - File name for problem reports.
+	@returns The document, or all syntax errors, or, without any, all duplicate keys.
 	*/
 	static parse(text: string, file: string): Either<SettingsError, JsoncDocument> {
 		const source = {file, text};
@@ -59,14 +59,14 @@
 		const root = parseTree(text, errors, {allowTrailingComma: true});
 		const problems = errors.map(({error, offset}) => {
 			const code = printParseErrorCode(error);
-			return problemAt(source, offset, wholeFile, `syntax error: ${syntaxMessages[code] ?? code}`);
+			return problemAt(source, offset, entireFile, `syntax error: ${syntaxMessages[code] ?? code}`);
 		});
 		if (root === undefined || problems.length > 0) {
-			return Left({kind: 'invalid', problems: problems.length > 0 ? problems : [problemAt(source, 0, wholeFile, 'the file is empty')]});
+			return Left({kind: 'invalid', problems: problems.length > 0 ? problems : [problemAt(source, 0, entireFile, 'the file is empty')]});
 		}
 
-		const repeated = repeatedKeys(root).map(({offset, key}) => problemAt(source, offset, key, 'stands twice in the same object'));
-		return repeated.length > 0 ? Left({kind: 'invalid', problems: repeated}) : Right(new JsoncDocument(source, root));
+		const duplicateKeys = findDuplicateKeys(root).map(({offset, key}) => problemAt(source, offset, key, 'stands twice in the same object'));
+		return duplicateKeys.length > 0 ? Left({kind: 'invalid', problems: duplicateKeys}) : Right(new JsoncDocument(source, root));
 	}
 
 	readonly #source: Source;
@@ -77,17 +77,17 @@
 		this.#root = root;
 	}
 
-	/** The plain value of the whole file. */
+	/** The value of the entire file. */
 	get value(): unknown {
 		return getNodeValue(this.#root) as unknown;
 	}
 
 	/**
-	Checks a part of the file against a schema.
+	Validates a part of the file against a schema.
 
-	@param schema - What the part must be.
-	@param path - Where the part stands; the whole file by default.
-	@returns The checked value with its defaults, or all problems, in the order of their lines.
+	@param schema - Schema of the part.
+	@param path - Path of the part; the entire file by default.
+	@returns The validated value with defaults applied, or all problems in the order of their position.
 	*/
 	check<T>(schema: ZodType<T>, path: JSONPath = []): Either<SettingsError, T> {
 		const node = findNodeAtLocation(this.#root, path);
@@ -97,15 +97,15 @@
 		}
 
 		const problems = checked.error.issues
-			.flatMap(issue => plainMessages(issue, this.#valueAt(path)))
+			.flatMap(issue => readableIssues(issue, this.#valueAt(path)))
 			.map(issue => this.#problem(issue, path))
 			.toSorted((a, b) => a.line - b.line || a.column - b.column);
 		return Left({kind: 'invalid', problems});
 	}
 
 	/**
-	@param path - Where the problem is; the nearest place that exists is told.
-	@param message - What is wrong.
+	@param path - Path of the problem; if it does not exist, the position of its nearest existing ancestor is reported.
+	@param message - Human-readable description.
 	@returns A problem of this file.
 	*/
 	problemAtPath(path: JSONPath, message: string): SettingsProblem {
@@ -119,13 +119,13 @@
 		};
 	}
 
-	#problem({path, message}: PlainIssue, prefix: JSONPath): SettingsProblem {
-		const whole = [...prefix, ...path];
-		const key = keyOf(whole);
-		return problemAt(this.#source, this.#offset(whole), key, message);
+	#problem({path, message}: ReadableIssue, prefix: JSONPath): SettingsProblem {
+		const fullPath = [...prefix, ...path];
+		const key = keyOf(fullPath);
+		return problemAt(this.#source, this.#offset(fullPath), key, message);
 	}
 
-	/** A missing key has no place of its own: its object's is told. A present key is told where the key begins. */
+	/** Returns the offset of an existing key, or, for a missing key, the offset of its nearest existing ancestor. */
 	#offset(path: JSONPath): number {
 		const node = findNodeAtLocation(this.#root, path);
 		if (node) {
@@ -137,25 +137,25 @@
 }
 
 const keyOf = (path: JSONPath): string => path.length === 0
-	? wholeFile
+	? entireFile
 	: path.map((part, i) => typeof part === 'number' ? `[${part}]` : `${i === 0 ? '' : '.'}${part}`).join('');
 
-/** A file's name and its text. */
+/** Name and content of a file. */
 type Source = {readonly file: string; readonly text: string};
 
 const problemAt = ({file, text}: Source, offset: number, key: string, message: string): SettingsProblem => {
-	const before = text.slice(0, offset).split('\n');
+	const precedingLines = text.slice(0, offset).split('\n');
 	return {
-		file, line: before.length, column: (before.at(-1)?.length ?? 0) + 1, key, message,
+		file, line: precedingLines.length, column: (precedingLines.at(-1)?.length ?? 0) + 1, key, message,
 	};
 };
 
-/** JSON parsers keep the last of two equal keys without a word, so the operator's first value would be lost. */
-const repeatedKeys = (node: Node): ReadonlyArray<{offset: number; key: string}> => {
+/** Finds duplicate keys. JSON parsers silently retain the last of two equal keys, so the first value of the operator would be lost. */
+const findDuplicateKeys = (node: Node): ReadonlyArray<{offset: number; key: string}> => {
 	const children = node.children ?? [];
 	const keys = node.type === 'object' ? children.map(property => String(property.children?.[0]?.value)) : [];
-	const own = children
+	const duplicates = children
 		.map(({offset}, i) => ({offset, key: keys[i] ?? ''}))
 		.filter(({key}, i) => node.type === 'object' && keys.indexOf(key) < i);
-	return [...own, ...children.flatMap(repeatedKeys)];
+	return [...duplicates, ...children.flatMap(findDuplicateKeys)];
 };
--- a/src/io/program.ts
+++ b/src/io/program.ts
@@ -1,5 +1,5 @@
 /**
-The frame of every daemon: command line, settings, log, metrics, signals and exit codes. A program adds only its schema and a `start` function, so all of them stop, fail and report alike.
+The common frame of all daemons: command line, settings, log, metrics, signals and exit codes. A program contributes only its settings schema and a `start` function, so that all daemons start, stop and report failures the same way.
 */
 import process from 'node:process';
 import {type Either} from 'purify-ts/Either';
@@ -19,42 +19,42 @@
 import {reportUsageErrors, tellUnknownOption} from './usage-errors.js';
 import {version} from './version.js';
 
-/** What the frame hands to a program. */
+/** Services that the frame provides to a program. */
 export type ProgramServices = {
 	readonly log: EventLog;
-	/** Log lines that were dropped since the start. */
+	/** Number of log lines dropped since the start. */
 	readonly droppedLines: () => number;
 	readonly metrics: Metrics;
 	readonly clock: Clock;
 	readonly random: RandomSource;
 };
 
-/** Why a program could not start, for instance because its port is taken. */
+/** Why a program could not start, for instance because its port is in use. */
 export type StartError = {
 	readonly exitCode: ExitCode;
-	/** A sentence for people. */
+	/** Human-readable description. */
 	readonly message: string;
 };
 
-/** A program that is running. */
+/** A program after a successful start. */
 export type RunningProgram = {
-	/** Where it listens, by what for; told in the first log event. */
+	/** Listening addresses by purpose; written to the first log event. */
 	readonly addresses?: Readonly<Record<string, string>>;
-	/** Takes over settings that were changed while it runs; what can not change without a restart is left as it is. */
+	/** Applies changed settings at run time; settings that require a restart are ignored. */
 	reload?(settings: unknown): void;
-	/** Takes no new work and resolves once the work in hand is done. */
+	/** Stops accepting work and resolves when all work in progress is complete. */
 	drain(): Promise<void>;
-	/** Releases everything at once. Called after `drain`. */
+	/** Releases all resources immediately. Called after `drain`, or without it on a violated invariant. */
 	dispose(): void;
 };
 
-/** A program, as its main module describes it. */
+/** Definition of a program, provided by its main module. */
 export type Program<T extends CommonSettings> = {
-	/** The name of the binary. */
+	/** Name of the binary. */
 	readonly name: string;
-	/** One sentence for `--help`. */
+	/** One-sentence description for `--help`. */
 	readonly describe: string;
-	/** Its settings; must include `commonSettings`. */
+	/** Schema of its settings; must include `commonSettings`. */
 	readonly schema: ZodType<T>;
 	readonly start: (settings: T, services: ProgramServices) => Promise<Either<StartError, RunningProgram>>;
 };
@@ -64,39 +64,39 @@
 	readonly check?: boolean;
 };
 
-const fail = (lines: readonly string[], exitCode: ExitCode): void => {
+const reportFailure = (lines: readonly string[], exitCode: ExitCode): void => {
 	process.stderr.write(`${lines.join('\n')}\n`);
 	process.exitCode = exitCode;
 };
 
-const failSettings = (err: SettingsError): void => {
+const reportSettingsError = (err: SettingsError): void => {
 	const {lines, exitCode} = describeSettingsError(err);
-	fail(lines, exitCode);
+	reportFailure(lines, exitCode);
 };
 
 const launch = async <T extends CommonSettings>({name, start, schema}: Program<T>, settings: T, path: string): Promise<void> => {
 	setRuntimeFlags();
 	const services = createServices(name, settings);
 	const run = new ProgramRun(services);
-	run.guard();
+	run.installHandlers();
 	run.reloadFrom(path, () => loadSettings(schema, path));
 	const started = await start(settings, services);
 	started.ifRight(running => {
-		run.follow(running);
+		run.setRunning(running);
 	});
 	if (started.isLeft()) {
 		const {message, exitCode} = started.extract();
 		services.log.emit(platformEvents.startFailed, {reason: message});
-		fail([`${name}: ${message}`], exitCode);
-		await run.abandon(exitCode);
+		reportFailure([`${name}: ${message}`], exitCode);
+		await run.exitAfterFailedStart(exitCode);
 	}
 };
 
 /**
-Runs a daemon until it is told to stop. Exit codes are those of `exit-codes.ts`: 0 after a graceful shutdown, 64 for a wrong command line, 66 and 78 for settings, 70 for a broken invariant, or what `start` returned.
+Runs a daemon until it is stopped. Exit codes are those of `exit-codes.ts`: 0 after a graceful shutdown, 64 for a wrong command line, 66 and 78 for settings, 70 for a violated invariant, or the code that `start` returned.
 
-@param program - What to run.
-@param argv - The process's arguments.
+@param program - Program to run.
+@param argv - Arguments of the process.
 */
 export const runProgram = <T extends CommonSettings>(program: Program<T>, argv: string[] = process.argv): void => {
 	reportUsageErrors();
@@ -109,12 +109,12 @@
 		.example('--settings settings.jsonc')
 		.action(async ({settings: path, check}: Flags) => {
 			if (typeof path !== 'string') {
-				fail([`${name}: --settings FILE is missing`], exitCodes.usage);
+				reportFailure([`${name}: --settings FILE is missing`], exitCodes.usage);
 				return;
 			}
 
 			const loaded = loadSettings(schema, path);
-			loaded.ifLeft(failSettings);
+			loaded.ifLeft(reportSettingsError);
 			if (loaded.isRight() && !check) {
 				await launch(program, loaded.unsafeCoerce(), path);
 			}
--- a/src/io/time-limit.ts
+++ b/src/io/time-limit.ts
@@ -1,26 +1,26 @@
 /**
-Time limits that count only the time in which this process ran. On a busy machine a process may be paused for longer than a call may take; what was sent to it meanwhile, or what it had yet to send itself, says nothing of the other end. A limit is counted in steps, each of which ends when the sockets have been read, as after a pause timers come before sockets. A pause counts as one step, however long it was.
+Timeouts that do not count pauses of this process. On a busy machine a process may be paused for longer than the time limit of a call; data that arrived or could not be sent meanwhile does not indicate a failure of the other end. The limit is counted in steps, each of which ends only after the sockets have been read, since timers run before sockets after a pause. A pause therefore counts as one step, whatever its length.
 */
 import type {Disposable} from '../common/services.js';
 
-const stepsOfLimit = 4;
+const stepCount = 4;
 
-/** See the module's head. */
+/** A timeout that does not count pauses of this process. */
 export class TimeLimit implements Disposable {
 	readonly #stepMs: number;
-	readonly #onOver: () => void;
-	#left = stepsOfLimit;
+	readonly #onExpired: () => void;
+	#remainingSteps = stepCount;
 	#timer: NodeJS.Timeout | undefined;
 	#isDisposed = false;
 
 	/**
-	@param ms - Milliseconds.
-	@param onOver - Called once, unless the limit is disposed of before.
+	@param ms - Time limit in milliseconds.
+	@param onExpired - Called once when the limit expires, unless it is disposed of before.
 	*/
-	constructor(ms: number, onOver: () => void) {
-		this.#stepMs = ms / stepsOfLimit;
-		this.#onOver = onOver;
-		this.#next();
+	constructor(ms: number, onExpired: () => void) {
+		this.#stepMs = ms / stepCount;
+		this.#onExpired = onExpired;
+		this.#scheduleStep();
 	}
 
 	dispose(): void {
@@ -28,7 +28,7 @@
 		clearTimeout(this.#timer);
 	}
 
-	#next() {
+	#scheduleStep() {
 		this.#timer = setTimeout(() => {
 			setImmediate(() => {
 				this.#step();
@@ -37,15 +37,15 @@
 	}
 
 	#step() {
-		this.#left -= 1;
+		this.#remainingSteps -= 1;
 		if (this.#isDisposed) {
 			return;
 		}
 
-		if (this.#left > 0) {
-			this.#next();
+		if (this.#remainingSteps > 0) {
+			this.#scheduleStep();
 		} else {
-			this.#onOver();
+			this.#onExpired();
 		}
 	}
 }
--- a/src/io/watched-client.ts
+++ b/src/io/watched-client.ts
@@ -1,5 +1,5 @@
 /**
-Undici's connection to one address, but for the end of an answer that tells neither its length nor its pieces: only the way in which the connection ended says whether such an answer is whole, and undici takes a reset for an end.
+An undici client that verifies the end of responses with neither a `content-length` nor chunked encoding. Such a response is complete only if its connection was closed in order, but undici treats a reset as a normal end, too.
 */
 import type {Dispatcher} from 'undici';
 import buildConnector from 'undici/lib/core/connect.js';
@@ -13,8 +13,8 @@
 
 type Handler = Required<Dispatcher.DispatchHandler>;
 
-/** Passes an answer on, and its end where it was one. */
-class EndJudge implements Dispatcher.DispatchHandler {
+/** Forwards a response to the next handler, and turns the end of an unframed response into an error if the connection was reset. */
+class ResponseEndVerifier implements Dispatcher.DispatchHandler {
 	readonly #next: Dispatcher.DispatchHandler;
 	readonly #method: string;
 	readonly #watch: SocketWatch;
@@ -34,7 +34,7 @@
 		this.#next.onRequestUpgrade?.(...args);
 	}
 
-	// Comes once more for each interim head before the answer's own.
+	// Also called for each interim (1xx) response before the final one.
 	onResponseStart(...args: Parameters<Handler['onResponseStart']>): void {
 		const [, status, headers] = args;
 		this.#isFramed = this.#method === 'HEAD' || bodilessStatuses.has(status)
@@ -52,14 +52,14 @@
 			return;
 		}
 
-		void this.#endUnframed(args);
+		void this.#verifyUnframedEnd(args);
 	}
 
 	onResponseError(...args: Parameters<Handler['onResponseError']>): void {
 		this.#next.onResponseError?.(...args);
 	}
 
-	async #endUnframed(args: Parameters<Handler['onResponseEnd']>) {
+	async #verifyUnframedEnd(args: Parameters<Handler['onResponseEnd']>) {
 		if (await this.#watch.wasReset()) {
 			this.#next.onResponseError?.(args[0], new Error('reset within an answer without a length'));
 		} else {
@@ -68,11 +68,11 @@
 	}
 }
 
-/** Carries one request at a time. */
+/** A client whose connection carries one request at a time. */
 export class WatchedClient extends Client {
 	readonly #watch: SocketWatch;
 
-	/** @param options - Undici's; a socket has to stay writable after the other end has closed (`allowHalfOpen`), so that it can be asked whether it was reset. */
+	/** @param options - Options of undici. The socket must stay writable after the server has closed its side (`allowHalfOpen`), so that a reset can be detected. */
 	constructor(url: string | URL, {connect, ...options}: NonNullable<Options> = {}) {
 		const watch = new SocketWatch();
 		const connector = typeof connect === 'function' ? connect : buildConnector(connect);
@@ -89,6 +89,6 @@
 	}
 
 	override dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
-		return super.dispatch(options, new EndJudge(handler, options.method, this.#watch));
+		return super.dispatch(options, new ResponseEndVerifier(handler, options.method, this.#watch));
 	}
 }
