--- a/src/agent/engine-backend.ts
+++ b/src/agent/engine-backend.ts
@@ -112,7 +112,7 @@
 
 	// The pool's other connections are likely to be silent, too, and the engine may still generate what nobody can read.
 	#abandon({key}: BackendRequest) {
-		this.#http.renew(this.#address);
+		this.#http.discardPool(this.#address);
 		void this.#http.send({
 			address: this.#address,
 			method: 'POST',
@@ -126,7 +126,7 @@
 
 	async #askServes({isFresh}: {isFresh: boolean}): Promise<Either<ServesFailure, readonly string[]>> {
 		const sent = await this.#http.send({
-			address: this.#address, method: 'GET', path: '/v1/models', timeoutMs: probeTimeoutMs, wholeMs: 2 * probeTimeoutMs, fresh: isFresh,
+			address: this.#address, method: 'GET', path: '/v1/models', timeoutMs: probeTimeoutMs, responseTimeoutMs: 2 * probeTimeoutMs, fresh: isFresh,
 		});
 		if (sent.isLeft()) {
 			const {kind, reason} = sent.extract();
@@ -143,7 +143,7 @@
 
 	async #probe(): Promise<EngineState | undefined> {
 		const sent = await this.#http.send({
-			address: this.#address, method: 'GET', path: '/v1/load', timeoutMs: probeTimeoutMs, wholeMs: 2 * probeTimeoutMs, fresh: true,
+			address: this.#address, method: 'GET', path: '/v1/load', timeoutMs: probeTimeoutMs, responseTimeoutMs: 2 * probeTimeoutMs, fresh: true,
 		});
 		if (sent.isLeft()) {
 			return undefined;
--- a/src/agent/engine-models.ts
+++ b/src/agent/engine-models.ts
@@ -26,7 +26,7 @@
 
 	async loaded(): Promise<readonly PlacedModel[] | undefined> {
 		const sent = await this.#http.send({
-			address: this.#address, method: 'GET', path: '/v1/models', timeoutMs: listTimeoutMs, wholeMs: 2 * listTimeoutMs,
+			address: this.#address, method: 'GET', path: '/v1/models', timeoutMs: listTimeoutMs, responseTimeoutMs: 2 * listTimeoutMs,
 		});
 		if (sent.isLeft()) {
 			return undefined;
--- a/src/ctl/citronctl.ts
+++ b/src/ctl/citronctl.ts
@@ -5,7 +5,7 @@
 import sade from 'sade';
 import {Left, Right, type Either} from 'purify-ts/Either';
 import {exitCodes} from '../io/exit-codes.js';
-import {reportUsageErrors, tellUnknownOption} from '../io/usage-errors.js';
+import {reportUsageErrors, reportUnknownOption} from '../io/usage-errors.js';
 import {version} from '../io/version.js';
 import type {Command, Options} from './command.js';
 import {type Output} from './ctl-context.js';
@@ -94,7 +94,7 @@
 
 		cli.action(async (...given: unknown[]) => run(command, connect, given.slice(0, -1) as Array<string | undefined>, given.at(-1) as Options));
 	});
-	cli.parse(argv, {unknown: tellUnknownOption, string: optionNames(commands)});
+	cli.parse(argv, {unknown: reportUnknownOption, string: optionNames(commands)});
 };
 
 /** The long names of all options; all take a text, also where it looks like a number. */
--- a/src/entry/attempt-client.ts
+++ b/src/entry/attempt-client.ts
@@ -145,7 +145,7 @@
 
 		if (streamEnd === 'silent') {
 			// Its neighbours in the pool may be silent too; new requests must not wait on them.
-			this.#http.renew(place.address);
+			this.#http.discardPool(place.address);
 		}
 
 		return {kind: 'lost', reason: `stream ${streamEnd}`};
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -174,7 +174,7 @@
 			vmList: new HttpVmList(this.#http, platform.vmList, platform.timeoutMs),
 			rpc: this.#rpc,
 			renewConnections: address => {
-				this.#http.renew(address);
+				this.#http.discardPool(address);
 			},
 			replicas: this.#replicas,
 			subset: () => subset.current,
--- a/src/gateway/replica-connection-pool.ts
+++ b/src/gateway/replica-connection-pool.ts
@@ -38,7 +38,7 @@
 		this.#client = new Client(`http://${address}`, {
 			connect: (options, callback) => {
 				connect(options, (...outcome) => {
-					this.#socketWatch.follow(outcome[1]);
+					this.#socketWatch.track(outcome[1]);
 					callback(...outcome);
 				});
 			},
--- a/src/io/http-client.steps.ts
+++ b/src/io/http-client.steps.ts
@@ -81,7 +81,7 @@
 	this.address = await serveOnLoopback(this, () => undefined);
 });
 
-const send = async (world: AnswerWorld, limits: Pick<HttpRequest, 'timeoutMs' | 'wholeMs' | 'signal'>) => {
+const send = async (world: AnswerWorld, limits: Pick<HttpRequest, 'timeoutMs' | 'responseTimeoutMs' | 'signal'>) => {
 	const client = world.register(new HttpClient());
 	world.isSettled = false;
 	world.hasHead = false;
@@ -102,8 +102,8 @@
 	await send(this, {timeoutMs: ms, signal: AbortSignal.timeout(limitMs)});
 });
 
-When('a request is sent to it with a timeout of {int} ms, and {int} ms for the complete response', async function (this: AnswerWorld, timeoutMs: number, wholeMs: number) {
-	await send(this, {timeoutMs, wholeMs}).catch((err: unknown) => {
+When('a request is sent to it with a timeout of {int} ms, and {int} ms for the complete response', async function (this: AnswerWorld, timeoutMs: number, responseTimeoutMs: number) {
+	await send(this, {timeoutMs, responseTimeoutMs}).catch((err: unknown) => {
 		this.bodyError = err;
 	});
 });
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -33,7 +33,7 @@
 	/** Time limit in milliseconds for the head of the response. */
 	readonly timeoutMs: number;
 	/** Time limit in milliseconds for the complete response; when absent, the body is not limited. */
-	readonly wholeMs?: number;
+	readonly responseTimeoutMs?: number;
 	/** Aborts the request and its response: immediately, or, for `AbortSignal.timeout`, after the data received until then has been read. */
 	readonly signal?: AbortSignal;
 	/** Opens a new connection for this request only, for a retry after a connection became unresponsive. */
@@ -114,7 +114,7 @@
 		};
 
 		const headLimit = new TimeLimit(req.timeoutMs, onTimeout);
-		const responseLimit = req.wholeMs === undefined ? undefined : new TimeLimit(req.wholeMs, onTimeout);
+		const responseLimit = req.responseTimeoutMs === undefined ? undefined : new TimeLimit(req.responseTimeoutMs, onTimeout);
 		const forwardAbort = () => {
 			if (isTimeLimit(req.signal)) {
 				setImmediate(abort);
@@ -157,7 +157,7 @@
 
 	A connection whose state a network device has lost stays unresponsive permanently, and other connections of the pool are probably affected too; new requests must not wait on them.
 	*/
-	renew(address: string): void {
+	discardPool(address: string): void {
 		const pool = this.#pools.get(address);
 		this.#pools.delete(address);
 		void pool?.close().catch(() => undefined);
--- a/src/io/http-vm-list.ts
+++ b/src/io/http-vm-list.ts
@@ -31,10 +31,10 @@
 
 	async read(): Promise<Either<ApiError, readonly VmEntry[]>> {
 		const sent = await this.#client.send({
-			address: this.#address, method: 'GET', path: '/v1/vms', timeoutMs: this.#timeoutMs, wholeMs: 2 * this.#timeoutMs,
+			address: this.#address, method: 'GET', path: '/v1/vms', timeoutMs: this.#timeoutMs, responseTimeoutMs: 2 * this.#timeoutMs,
 		});
 		if (sent.isLeft()) {
-			this.#client.renew(this.#address);
+			this.#client.discardPool(this.#address);
 			return Left({kind: 'unavailable', reason: (sent.extract()).reason});
 		}
 
--- a/src/io/object-api-calls.ts
+++ b/src/io/object-api-calls.ts
@@ -65,11 +65,11 @@
 			body: call.body,
 			fresh: call.isFresh,
 			timeoutMs: headLimitMs,
-			wholeMs: headLimitMs + timeoutMs,
+			responseTimeoutMs: headLimitMs + timeoutMs,
 		});
 		if (sent.isLeft()) {
 			// An unresponsive connection is not reused, so that the next call can succeed.
-			this.#client.renew(address);
+			this.#client.discardPool(address);
 			return Left(failureOf(call, sent.extract()));
 		}
 
--- a/src/io/program.ts
+++ b/src/io/program.ts
@@ -16,7 +16,7 @@
 import {loadSettings} from './settings.js';
 import {describeSettingsError, type SettingsError} from './settings-error.js';
 import {type CommonSettings} from './settings-schemas.js';
-import {reportUsageErrors, tellUnknownOption} from './usage-errors.js';
+import {reportUsageErrors, reportUnknownOption} from './usage-errors.js';
 import {version} from './version.js';
 
 /** Services that the frame provides to a program. */
@@ -119,5 +119,5 @@
 				await launch(program, loaded.unsafeCoerce(), path);
 			}
 		})
-		.parse(argv, {unknown: tellUnknownOption, boolean: ['check'], string: ['settings']});
+		.parse(argv, {unknown: reportUnknownOption, boolean: ['check'], string: ['settings']});
 };
--- a/src/io/rpc-client.ts
+++ b/src/io/rpc-client.ts
@@ -58,13 +58,13 @@
 
 	async #post(payload: JSONRPCRequest, target: RpcTarget): Promise<Either<HttpFailure, JSONRPCResponse>> {
 		const sent = await this.#http.send({
-			...target, method: 'POST', path: '/rpc', headers: {'content-type': 'application/json'}, body: JSON.stringify(payload), wholeMs: 2 * target.timeoutMs,
+			...target, method: 'POST', path: '/rpc', headers: {'content-type': 'application/json'}, body: JSON.stringify(payload), responseTimeoutMs: 2 * target.timeoutMs,
 		});
 		if (sent.isLeft()) {
 			const failure = sent.extract();
 			if (failure.kind === 'silent') {
 				// The connection may be permanently unresponsive, so later calls must use another one.
-				this.#http.renew(target.address);
+				this.#http.discardPool(target.address);
 			}
 
 			return Left(failure);
--- a/src/io/socket-watch.ts
+++ b/src/io/socket-watch.ts
@@ -14,7 +14,7 @@
 	#hasFailed = false;
 
 	/** @param socket - Socket of the new connection; it must stay writable after the server has closed its side (`allowHalfOpen`). `null` if the connection could not be established. */
-	follow(socket: Socket | null): void {
+	track(socket: Socket | null): void {
 		this.#socket = socket ?? undefined;
 		this.#hasFailed = false;
 		socket?.once('error', () => {
--- a/src/io/usage-errors.ts
+++ b/src/io/usage-errors.ts
@@ -16,6 +16,6 @@
 };
 
 /** @param flag - An unknown option. The command-line library exits after the message has been written. */
-export const tellUnknownOption = (flag: string): void => {
+export const reportUnknownOption = (flag: string): void => {
 	process.stderr.write(`Unknown option: ${flag}\n`);
 };
--- a/src/io/watched-client.ts
+++ b/src/io/watched-client.ts
@@ -80,7 +80,7 @@
 			...options,
 			connect(target, callback) {
 				connector(target, (...outcome) => {
-					watch.follow(outcome[1]);
+					watch.track(outcome[1]);
 					callback(...outcome);
 				});
 			},
--- a/src/load/main.ts
+++ b/src/load/main.ts
@@ -6,7 +6,7 @@
 import {exitCodes} from '../io/exit-codes.js';
 import {loadSettings} from '../io/settings.js';
 import {describeSettingsError} from '../io/settings-error.js';
-import {reportUsageErrors, tellUnknownOption} from '../io/usage-errors.js';
+import {reportUsageErrors, reportUnknownOption} from '../io/usage-errors.js';
 import {version} from '../io/version.js';
 import type {LatencySummary} from './latency-histogram.js';
 import {LoadRun, type LoadReport} from './load-run.js';
@@ -77,4 +77,4 @@
 			await run(loaded.extract(), json === true);
 		}
 	})
-	.parse(process.argv, {unknown: tellUnknownOption, boolean: ['json'], string: ['settings']});
+	.parse(process.argv, {unknown: reportUnknownOption, boolean: ['json'], string: ['settings']});
--- a/src/standins/main.ts
+++ b/src/standins/main.ts
@@ -9,7 +9,7 @@
 import {exitCodes, type ExitCode} from '../io/exit-codes.js';
 import {loadSettings} from '../io/settings.js';
 import {describeSettingsError, type SettingsError} from '../io/settings-error.js';
-import {reportUsageErrors, tellUnknownOption} from '../io/usage-errors.js';
+import {reportUsageErrors, reportUnknownOption} from '../io/usage-errors.js';
 import {version} from '../io/version.js';
 import {engineSettingsSchema} from './engine-settings.js';
 import {EngineStandin} from './engine-standin.js';
@@ -108,4 +108,4 @@
 		});
 });
 
-cli.parse(process.argv, {unknown: tellUnknownOption, string: ['host', 'port', 'settings']});
+cli.parse(process.argv, {unknown: reportUnknownOption, string: ['host', 'port', 'settings']});
