--- a/src/common/config-upstream.ts
+++ b/src/common/config-upstream.ts
@@ -56,7 +56,7 @@
 	const parent = ranked[Math.floor((rank - watchersPerDomain) / fanOut)]!;
 	const own = ranked.slice(0, watchersPerDomain);
 	const remote = watchers.filter(watcher => !own.includes(watcher));
-	// A watcher of another failure domain comes second: when the links to the whole own domain are unresponsive, trying its nodes one after another would take too long.
+	// A watcher of another failure domain comes second: when the links to all nodes of the own domain are unresponsive, trying these nodes one after another would take too long.
 	return {isWatcher: false, upstreams: addressesOf(entries, [parent, ...remote.slice(0, 1), ...own, ...remote.slice(1)], self)};
 };
 
--- a/src/common/placement-policy.ts
+++ b/src/common/placement-policy.ts
@@ -39,7 +39,7 @@
 	readonly minReady: number;
 	/** Chosen servers that have any version. */
 	readonly ready: number;
-	/** Chosen servers that have the wanted version. */
+	/** Chosen servers that have the desired version. */
 	readonly rolledOut: number;
 	/** Servers chosen, and the next best ones. */
 	readonly chosen: readonly string[];
@@ -55,18 +55,18 @@
 type Plan = {readonly progress: ModelProgress; readonly versions: ReadonlyMap<string, PlacedModel>};
 
 const modelIn = (models: readonly PlacedModel[] | undefined, name: string) => models?.find(({model}) => model === name);
-const isVersion = (model: PlacedModel | undefined, wanted: PlacedModel) => model?.version === wanted.version && model.adapter === wanted.adapter;
+const isVersion = (model: PlacedModel | undefined, desired: PlacedModel) => model?.version === desired.version && model.adapter === desired.adapter;
 const placedModelOf = ({model, version, adapter}: PlacedModel): PlacedModel => ({model, version, ...(adapter !== undefined && {adapter})});
 
 /** Number of loads in progress: assigned, but not loaded yet. */
-const loadsUnderWay = (servers: readonly PlacementServer[]) => servers
-	.flatMap(({assigned, loaded}) => (assigned ?? []).filter(wanted => loaded !== undefined && !isVersion(modelIn(loaded, wanted.model), wanted)))
+const loadsInProgress = (servers: readonly PlacementServer[]) => servers
+	.flatMap(({assigned, loaded}) => (assigned ?? []).filter(desired => loaded !== undefined && !isVersion(modelIn(loaded, desired.model), desired)))
 	.length;
 
 /** Prefers servers that already have the model, so that nothing is unloaded before as many others have it; then servers in the failure domain with the fewest. */
-const chooseServers = (wanted: DesiredModel, candidates: readonly PlacementServer[], target: number) => {
-	const ranked = rankMembers(wanted.model, candidates.map(({vm}) => vm)).map(vm => candidates.find(server => server.vm === vm)!);
-	const weight = ({assigned, loaded}: PlacementServer) => (modelIn(loaded, wanted.model) ? 2 : 0) + (modelIn(assigned, wanted.model) ? 1 : 0);
+const chooseServers = (desired: DesiredModel, candidates: readonly PlacementServer[], target: number) => {
+	const ranked = rankMembers(desired.model, candidates.map(({vm}) => vm)).map(vm => candidates.find(server => server.vm === vm)!);
+	const weight = ({assigned, loaded}: PlacementServer) => (modelIn(loaded, desired.model) ? 2 : 0) + (modelIn(assigned, desired.model) ? 1 : 0);
 	const chosen: PlacementServer[] = [];
 	const remaining = [...ranked];
 	while (chosen.length < target && remaining.length > 0) {
@@ -79,20 +79,20 @@
 	return {chosen, remaining};
 };
 
-const planModel = (wanted: DesiredModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
-	const candidates = servers.filter(({allowed}) => allowed.includes(wanted.model));
-	const target = Math.min(wanted.replicas ?? candidates.length, candidates.length);
+const planModel = (desired: DesiredModel, servers: readonly PlacementServer[], spareLoads: number): Plan => {
+	const candidates = servers.filter(({allowed}) => allowed.includes(desired.model));
+	const target = Math.min(desired.replicas ?? candidates.length, candidates.length);
 	// At least one replica may be missing, otherwise no server could ever change its version.
-	const minReady = Math.max(0, Math.min(wanted.minReady ?? target - 1, target - 1));
-	const {chosen, remaining} = chooseServers(wanted, candidates, target);
-	const isReady = ({loaded}: PlacementServer) => modelIn(loaded, wanted.model) !== undefined;
-	const isChanging = ({assigned, loaded}: PlacementServer) => isVersion(modelIn(assigned, wanted.model), wanted) && !isVersion(modelIn(loaded, wanted.model), wanted);
+	const minReady = Math.max(0, Math.min(desired.minReady ?? target - 1, target - 1));
+	const {chosen, remaining} = chooseServers(desired, candidates, target);
+	const isReady = ({loaded}: PlacementServer) => modelIn(loaded, desired.model) !== undefined;
+	const isChanging = ({assigned, loaded}: PlacementServer) => isVersion(modelIn(assigned, desired.model), desired) && !isVersion(modelIn(loaded, desired.model), desired);
 	let allowedMissing = chosen.filter(server => isReady(server) && !isChanging(server)).length - minReady;
 	let loads = spareLoads;
 	const versions = new Map(chosen.map((server): [string, PlacedModel | undefined] => {
-		const current = modelIn(server.assigned, wanted.model) ?? modelIn(server.loaded, wanted.model);
-		if (isVersion(current, wanted) && current) {
-			return [server.vm, placedModelOf(wanted)];
+		const current = modelIn(server.assigned, desired.model) ?? modelIn(server.loaded, desired.model);
+		if (isVersion(current, desired) && current) {
+			return [server.vm, placedModelOf(desired)];
 		}
 
 		// An engine that changes its version may not answer meanwhile, so it counts as missing.
@@ -103,16 +103,16 @@
 
 		loads -= 1;
 		allowedMissing -= missing;
-		return [server.vm, placedModelOf(wanted)];
+		return [server.vm, placedModelOf(desired)];
 	}).filter((row): row is [string, PlacedModel] => row[1] !== undefined));
 	const ready = chosen.filter(server => isReady(server)).length;
 	return {
 		progress: {
-			model: wanted.model,
+			model: desired.model,
 			target,
 			minReady,
 			ready,
-			rolledOut: chosen.filter(({loaded}) => isVersion(modelIn(loaded, wanted.model), wanted)).length,
+			rolledOut: chosen.filter(({loaded}) => isVersion(modelIn(loaded, desired.model), desired)).length,
 			chosen: chosen.map(({vm}) => vm),
 			runnersUp: remaining.map(({vm}) => vm).slice(0, 3),
 		},
@@ -126,9 +126,9 @@
 @param servers - The live engines.
 @param maxLoads - Loads that may be in progress at once in the whole fleet, limited by the capacity of the weight store.
 */
-export const placeModels = (wanted: readonly DesiredModel[], servers: readonly PlacementServer[], maxLoads: number): Placement => {
-	let spareLoads = maxLoads - loadsUnderWay(servers);
-	const plans = wanted.map(model => {
+export const placeModels = (desired: readonly DesiredModel[], servers: readonly PlacementServer[], maxLoads: number): Placement => {
+	let spareLoads = maxLoads - loadsInProgress(servers);
+	const plans = desired.map(model => {
 		const plan = planModel(model, servers, spareLoads);
 		const startedLoads = servers.filter(({vm, assigned, loaded}) => {
 			const next = plan.versions.get(vm);
--- a/src/gateway/batch/batch-policy.ts
+++ b/src/gateway/batch/batch-policy.ts
@@ -1,5 +1,5 @@
 /**
-The scheduling policy for batch items: which of the waiting items gets a slot, and how many slots a process takes in one review. Pure: it reads no clock and sends nothing.
+The scheduling policy for batch items: which of the waiting items gets a slot, and how many slots a process takes in one review, that is, one pass over its waiting items. Pure: it reads no clock and sends nothing.
 
 It handles two patterns of load. *More work than slots*: online calls come in waves that fill all slots for seconds, and the rest does not suffice for all items by their due times; an item that can still be on time then precedes one that cannot, or all would be late together. *Many processes, few slots*: each process sees the others' runs some ten milliseconds late, and if each filled all slots that it sees free, a slot would be taken many times over, the replicas would refuse most of the runs, and refusals cost connections; so each takes its share of the free slots, and the rest in its next review.
 */
--- a/src/gateway/keeping/job-journal.ts
+++ b/src/gateway/keeping/job-journal.ts
@@ -29,7 +29,7 @@
 		this.#dir = dir;
 	}
 
-	/** @returns The jobs that were held before. Torn files are skipped, since they were never confirmed to anybody. */
+	/** @returns The jobs that were held before. Torn files are skipped, since no caller received a confirmation of their jobs. */
 	async load(): Promise<HeldJob[]> {
 		await mkdir(this.#dir, {recursive: true});
 		const names = await readdir(this.#dir);
--- a/src/gateway/parts.ts
+++ b/src/gateway/parts.ts
@@ -1,5 +1,5 @@
 /**
-Dependencies that the gateway's components share: the tables of the blackboard and the injected services.
+Dependencies that the gateway's components share: the tables of the blackboard, which is the in-memory state of the process that its controllers write and its request handling reads, and the injected services.
 */
 import type {
 	Clock, EventLog, Metrics, RandomSource,
--- a/src/gateway/quarantine/quarantine-records.ts
+++ b/src/gateway/quarantine/quarantine-records.ts
@@ -172,11 +172,11 @@
 		written.ifRight(({version}) => {
 			this.#records.set(content, {version, crashes: starts.length});
 		}).ifLeft(err => {
-			this.#onNotWritten(content, err);
+			this.#onWriteFailed(content, err);
 		});
 	}
 
-	#onNotWritten(content: ContentDigest, err: ApiError) {
+	#onWriteFailed(content: ContentDigest, err: ApiError) {
 		if (err.kind === 'conflict' && err.current) {
 			// Another process has written the record first.
 			this.#apply(err.current);
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -26,7 +26,7 @@
 	failureDomain: z.string().min(1),
 	/** Address for callers' connections. */
 	listen: listenAddressSchema,
-	/** Address at which the balancer queries whether callers may connect. */
+	/** Address at which the load balancer queries whether callers may connect. */
 	readyListen: listenAddressSchema,
 	/** Address to which peers send their state, by UDP, and their calls, by TCP. */
 	peerListen: listenAddressSchema,
@@ -35,7 +35,7 @@
 	objectApi: objectApiSettings,
 	/** Milliseconds within which a lost connection to the object API must have been detected and replaced. */
 	catchUpMs: durationMs(3000),
-	/** Milliseconds after a replica has announced that it leaves, or its registration was removed, from which on it must get no more calls. */
+	/** Once a replica has announced that it leaves, or its registration was removed, it must get no more calls after this many milliseconds. */
 	drainMs: durationMs(2000),
 	/** Milliseconds within which an acknowledged change of the configuration must be in force. */
 	configMs: durationMs(2000),
@@ -43,7 +43,7 @@
 	refuseKeysAfterMs: durationMs().optional(),
 	/** Calls of a client account beyond its rate limit that are tolerated in a window; they compensate for the delay of announcements between processes. */
 	rateLimitTolerance: countOf(0),
-	/** Milliseconds after a job's submission for which its results can be read once it has finished. */
+	/** The results of a finished job can be read until this many milliseconds after its submission. */
 	resultsKeptMs: durationMs(86_400_000),
 	/** Number of disks that may be lost at once; a job that the object API does not accept is stored by one keeper more than that. */
 	toleratedLosses: countOf(1),
