--- a/src/gateway/testing/batch-wave-model.ts
+++ b/src/gateway/testing/batch-wave-model.ts
@@ -30,7 +30,7 @@
 	readonly total: number;
 	events: number;
 	isRunning: boolean;
-	begunAt: number | undefined;
+	firstStartedAt: number | undefined;
 	ranMs: number;
 };
 
@@ -79,7 +79,7 @@
 			const dueAt = this.#nextSubmissionAt + dueMs;
 			const process = processes === 1 ? 0 : Math.floor(draws.next() * processes);
 			this.#items.push(...Array.from({length: itemsPerJob}, () => ({
-				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - lengthSpread + (2 * lengthSpread * random.next()))), isRunning: false, begunAt: undefined, ranMs: 0,
+				process, dueAt, events: 0, total: Math.round(eventsOfItem * (1 - lengthSpread + (2 * lengthSpread * random.next()))), isRunning: false, firstStartedAt: undefined, ranMs: 0,
 			})));
 			this.#due += dueAt < lengthMs ? itemsPerJob : 0;
 			this.#nextSubmissionAt -= Math.log(1 - random.next()) * 1000 * itemsPerJob / perSecond;
@@ -107,7 +107,7 @@
 			const counts = isProportional ? {own: countWaiting(items, this.#length, now), all} : {own: equalDemand, all: {timely: byProcess.length * equalDemand.timely, late: 0}};
 			items.slice(0, slotAllowance(free, counts, draws.next())).forEach(item => {
 				item.isRunning = true;
-				item.begunAt ??= now;
+				item.firstStartedAt ??= now;
 			});
 		});
 	}
@@ -125,8 +125,8 @@
 		});
 	}
 
-	#recordRun({total, ranMs, dueAt, begunAt = 0}: Item, now: number) {
+	#recordRun({total, ranMs, dueAt, firstStartedAt = 0}: Item, now: number) {
 		const length = updateEstimate(this.#length, {events: total, elapsedMs: ranMs, total});
-		this.#length = this.#wave.isSlowdownEstimated && now <= dueAt ? updateSlowdown(length, {elapsedMs: now - begunAt, ranMs}) : length;
+		this.#length = this.#wave.isSlowdownEstimated && now <= dueAt ? updateSlowdown(length, {elapsedMs: now - firstStartedAt, ranMs}) : length;
 	}
 }
